--- a/src/core/box-requests.ts
+++ b/src/core/box-requests.ts
@@ -1,4 +1,4 @@
-/** The requests of a box: each is taken in, sent to a backend server that can serve it, and ended. */
+/** Admits the requests of a box and sends each to a backend server that can serve it. */
 import {isStillHeld} from "./access.js"
 import {type Candidate, chooseBackend, listPacedServers} from "./box-choose.js"
 import {abortAttempt, countUse, dropNeed, finish, giveUp, tellUse} from "./box-ends.js"
@@ -19,19 +19,18 @@
 import {holdEnd, STOP_HOLD_MS, wait} from "./box-waits.js"
 import {runningMs} from "./suspensions.js"
 
-/** How long after a stop was asked for requests are still sent to backend servers, milliseconds. */
+/** How long after a stop request new requests are still sent to backend servers. */
 const STOP_SEND_MS = 2_500
 
-/** Takes a request in. */
 export function admit(box: BoxServing, arrival: Arrival, now: number): void {
   const {route, deadlineMs, service} = arrival
-  const limit = Math.min(deadlineMs, route.timeoutMs)
+  const limitMs = Math.min(deadlineMs, route.timeoutMs)
   budgetOf(box, service).noteRequest(runningMs(box, now))
   const request: BoxRequest = {
     arrival,
     arrivedAt: now,
-    giveUpAt: now + limit,
-    holdUntil: holdEnd(box, arrival, limit, now),
+    giveUpAt: now + limitMs,
+    holdUntil: holdEnd(box, arrival, limitMs, now),
     attempt: undefined,
     attempts: 0,
     runs: 0,
@@ -56,7 +55,7 @@
   advance(box, request, now)
 }
 
-/** The box stops: what waits is soon refused, and what runs may end. */
+/** Starts the shutdown: waiting requests are refused soon, running ones may finish. */
 export function stopServing(box: BoxServing, now: number): void {
   box.stoppingAt = now
   for (const request of box.requests.values()) {
@@ -64,10 +63,13 @@
   }
 }
 
-/** Sends the request if it can be sent now; otherwise it waits. */
+/**
+ * Sends the request if a backend server can take it now; otherwise it waits or is
+ * refused.
+ */
 export function advance(box: BoxServing, request: BoxRequest, now: number): void {
   if (request.attempt || request.askedAt !== undefined || isStale(box, now)) return
-  if (!isAllowed(box, request)) {
+  if (!isKeyStillValid(box, request)) {
     return giveUp(box, request, request.runs > 0 ? "unknown" : "denied", now)
   }
   if (refuseIfStopped(box, request, now)) return
@@ -91,7 +93,7 @@
     request.attempt.allowedUntil = box.allowances.use(server, now)
   }
   countUse(box, request, 1)
-  notePrefix(box, request, now)
+  recordPrefix(box, request, now)
   box.effects.push({
     type: "send",
     id: request.arrival.id,
@@ -100,10 +102,10 @@
     expectedVersion: candidate.version,
     deadlineMs: Math.max(1, Math.round(request.giveUpAt - now))
   })
-  noteSent(box, request, candidate, now)
+  logSent(box, request, candidate, now)
 }
 
-function isAllowed(box: BoxServing, {arrival}: BoxRequest): boolean {
+function isKeyStillValid(box: BoxServing, {arrival}: BoxRequest): boolean {
   return isStillHeld(box, arrival.key, arrival.organisation)
 }
 
@@ -128,7 +130,7 @@
   }
 }
 
-function noteSent(
+function logSent(
   box: BoxServing,
   request: BoxRequest,
   {backend, version, unread}: Candidate,
@@ -154,12 +156,12 @@
   request.granted = false
 }
 
-function notePrefix(box: BoxServing, {arrival}: BoxRequest, now: number): void {
+function recordPrefix(box: BoxServing, {arrival}: BoxRequest, now: number): void {
   const {prefix, weights, route} = arrival
   if (prefix) box.prefixes.note(route.name, weights?.adapter ?? "", prefix.key, now)
 }
 
-/** The caller left. */
+/** Ends a request whose caller disconnected. */
 export function hangUp(box: BoxServing, id: string, now: number): void {
   const request = box.requests.get(id)
   if (!request) return
@@ -175,7 +177,10 @@
   finish(box, request)
 }
 
-/** Tells a new leader all that waits and runs here. */
+/**
+ * Reports running attempts to a new leader. Weights requests of waiting requests are sent
+ * again at their next turn.
+ */
 export function tellLeader(box: BoxServing): void {
   for (const request of box.requests.values()) {
     const {attempt} = request
--- a/src/core/box-state.ts
+++ b/src/core/box-state.ts
@@ -1,4 +1,4 @@
-/** The state of a box's requests, and what its decisions are made from. */
+/** The state from which a box decides how to serve its requests. */
 import type {Need, UseChange} from "../types/box-messages.js"
 import type {BackendRecord, Route, SharedPrefix, Weights} from "../types/fleet.js"
 import type {AdapterVersions} from "./adapter-versions.js"
@@ -21,31 +21,33 @@
 import type {AllowanceAsk} from "../types/usage-messages.js"
 import type {RateNews, SendAsk, SentLately} from "../types/rate-messages.js"
 
-/** A request as it came in. */
+/** A request as received from the caller. */
 export interface Arrival {
-  /** Unique in this box. */
+  /** Unique within this box. */
   readonly id: string
-  /** The caller's name of the request, for logs. */
+  /** The caller's request id, for logs. */
   readonly name: string
-  /** Alike for requests of the same caller, path and body; undefined: not known. */
+  /** Equal for requests of the same caller, path and body. Undefined if not known. */
   readonly fingerprint?: string
   readonly route: Route
   readonly service: string
   readonly weights?: Weights
   /** Prompt tokens. */
   readonly tokens: number
-  /** Digest of the caller's key; undefined: it sent none. */
+  /** Digest of the caller's key. Undefined if it sent none. */
   readonly key?: string
-  /** Whose key it is; undefined: nobody's, and none is needed. */
+  /** Holder of the key. Undefined if the request has no owner and needs none. */
   readonly organisation?: string
-  /** Tokens read and made, as the caller tells; undefined: it does not. */
+  /**
+   * Prompt and completion tokens that the caller declares. Undefined if it declares none.
+   */
   readonly usage?: number
-  /** The rank at engines, 0 is the most urgent. */
+  /** Priority at engines; 0 is the most urgent. */
   readonly rank: number
   readonly prefix?: SharedPrefix
-  /** What the caller still waits, milliseconds. */
+  /** Time left until the caller's deadline. */
   readonly deadlineMs: number
-  /** Resumes a stream of an earlier request after this event. */
+  /** Resumes the stream of an earlier request after this event. */
   readonly lastEventId?: string
 }
 
@@ -54,28 +56,35 @@
   readonly number: number
   readonly backend: string
   sentAt: number
-  /** Version of the adapter that it is to run on; undefined: none is asked for, 0: not known. */
+  /** Adapter version to run on. Undefined if no adapter is requested, 0 if not known. */
   readonly version: number | undefined
-  /** Prompt tokens that the backend server is believed to have to read. */
+  /** Estimated prompt tokens that the engine still has to prefill. */
   readonly unread: number
-  /** Bytes may have left: it may run. */
+  /** Whether bytes may have been sent, so that the request may run. */
   started: boolean
-  /** Bytes of its answer came; the time of the last. */
+  /** When the last bytes of its answer arrived. Undefined until the first arrive. */
   heardAt: number | undefined
-  /** When the first bytes of its answer came. */
+  /** When the first bytes of its answer arrived. */
   firstAt: number | undefined
   headed: boolean
-  /** Its connection was told to close. */
   aborted: boolean
-  /** What it was charged of its organisation's allowances; undefined: nothing, or it was given back. */
+  /**
+   * Charge to its organisation's allowances. Undefined if nothing was charged or the
+   * charge was refunded.
+   */
   charge: Charge | undefined
-  /** Its bytes must have left by then, where its server named a rate; undefined: it had named none. */
+  /**
+   * Latest time to send its bytes under the allowance of a rate-limited server. Undefined
+   * if the server advertised no rate limit.
+   */
   allowedUntil: number | undefined
 }
 
-/** A request could go only to servers that named rates. */
+/** The state of a request that only rate-limited servers could take. */
 export interface Paced {
-  /** Whose allowance it waits for; undefined: none can come in time. */
+  /**
+   * Server whose allowance it waits for. Undefined if no allowance can arrive in time.
+   */
   readonly server: string | undefined
   readonly since: number
 }
@@ -84,33 +93,38 @@
 export interface BoxRequest {
   readonly arrival: Arrival
   arrivedAt: number
-  /** The caller's deadline or the route's time limit, whichever is first. */
+  /** The caller's deadline or the route's time limit, whichever is earlier. */
   giveUpAt: number
-  /** Until when it waits for weights or a backend server. */
+  /** Until when it may wait for weights or a backend server. */
   holdUntil: number
   attempt: Attempt | undefined
   attempts: number
   /** Attempts that may have run. */
   runs: number
-  /** Attempts refused by backend servers without running. */
+  /** Attempts that backend servers refused without running them. */
   refusals: number
-  /** Backend servers not to be tried again, until these times. */
+  /** Backend servers that are not retried before these times. */
   readonly avoided: Map<string, number>
-  /** Backend servers that failed it, and not merely were late with their weights. */
+  /** Backend servers that failed it, except those whose weights were only late. */
   readonly failedAt: Set<string>
-  /** The leader was told that it waits. */
+  /** Whether the leader has a weights request for it. */
   needed: boolean
-  /** When the leader was asked whether it may be sent once more; undefined: it need not be. */
+  /** When the leader was asked for a retry. Undefined if no answer is pending. */
   askedAt: number | undefined
-  /** Since when it waits for an allowance; undefined: it does not. */
+  /** Since when it waits for a usage allowance. Undefined if it does not wait for one. */
   chargeAsked: number | undefined
-  /** Undefined: it was not held back by a server's rate. */
+  /** Undefined if no server's rate limit has held it back. */
   paced: Paced | undefined
-  /** The leader gave it a repeat, which is not one of this box's own. */
+  /**
+   * Whether the leader granted its next retry, which then does not count against this
+   * box's own budget.
+   */
   granted: boolean
-  /** It is let through though it is stopped, to see whether it crashes another server. */
+  /**
+   * Whether it is sent although it is quarantined, to test if it crashes another server.
+   */
   trial: boolean
-  /** The head of an answer went to the caller. */
+  /** Whether the head of an answer was sent to the caller. */
   replied: boolean
   lastEventId: string | undefined
 }
@@ -118,16 +132,16 @@
 export interface BoxOptions {
   readonly dataCentre: string
   readonly retry: RetryBudgetOptions
-  /** How long a new leader waits before its first order, milliseconds. */
+  /** How long a new leader waits before its first order. */
   readonly handoverMs: number
   /** A random number in [0, 1). */
   readonly random: () => number
   /**
-   * A key that was taken away may be used for so long after that was acknowledged, by any box,
-   * milliseconds; undefined: boxes that are cut off may go on.
+   * How long any box may accept a key after its revocation was acknowledged. Undefined if
+   * boxes without a connection may accept it without limit.
    */
   readonly takenAwayMs?: number | undefined
-  /** Undefined: `DEFAULT_USAGE`. */
+  /** Defaults to `DEFAULT_USAGE`. */
   readonly usage?: UsageOptions | undefined
 }
 
@@ -135,78 +149,95 @@
   readonly options: BoxOptions
   table: RouteTable | undefined
   backends: BackendList
-  /** When the news of servers was as new as it can be had; undefined: nobody says. */
+  /**
+   * When the snapshot of backend servers was last as recent as can be had. Undefined if
+   * no source has reported that.
+   */
   newsAt: number | undefined
-  /** When the store was read for what this box knows, or before; undefined: it never was. */
+  /**
+   * When the snapshot of this box was read from the key-value service, or earlier.
+   * Undefined if it never was.
+   */
   readAt: number | undefined
-  /** The era of the store; undefined: it tells none. */
+  /** Undefined if the key-value service reports no era. */
   era: KnownEra | undefined
-  /** `readAt` as the era rose; undefined: the store was not read before. */
+  /** `readAt` when the era last went up. Undefined if there was no store read before. */
   readBeforeEra: number | undefined
-  /** When the store was read for the configuration in force here, or before; undefined: it never was. */
+  /**
+   * When the configuration in force here was read from the key-value service, or earlier.
+   * Undefined if it never was.
+   */
   configReadAt: number | undefined
-  /** The same as the era rose. */
+  /**
+   * `configReadAt` when the era last went up. Undefined if there was no such store read.
+   */
   configReadBeforeEra: number | undefined
   readonly engines: Map<string, EngineView>
-  /** What an engine reads in a millisecond, as the leader told last. */
+  /** Prefill rate of an engine, as last received from the leader. */
   tokensPerMs: number
-  /** Adapters that each engine held lately, newest last: what a new leader begins with. */
+  /**
+   * Adapters that each engine held recently, newest last. A new leader starts from them.
+   */
   readonly held: Map<string, Map<string, number>>
   readonly versions: Map<string, AdapterVersions>
   readonly requests: Map<string, BoxRequest>
-  /** Lives of backend servers that are over, and when what still runs there ends. */
+  /**
+   * Ended incarnations of backend servers, with the time at which their attempts are
+   * aborted.
+   */
   readonly endedLives: Map<string, number>
-  /** Requests in progress at each backend server, of this box. */
+  /** Number of requests of this box in progress at each backend server. */
   readonly busy: Map<string, number>
-  /** Backend servers that failed lately, and until when others go first. */
+  /**
+   * Backend servers that failed recently, with the time until which others are preferred.
+   */
   readonly suspects: Map<string, number>
-  /** Until when servers that asked this box for rest are left alone. */
+  /** Until when servers that requested a back-off get no requests from this box. */
   readonly rests: Map<string, number>
-  /** What servers take from all boxes together. */
+  /** Rate limits that servers advertise for all boxes together. */
   readonly rates: ServerRates
-  /** What servers said that could not be read, the last of each: it is logged once. */
+  /** The last unreadable notice of each server, kept so that each is logged once. */
   readonly unreadable: Map<string, string>
-  /** What this box may send to servers that named rates, and what it sent to any. */
+  /** Allowances of this box for sends to rate-limited servers. */
   readonly allowances: SendAllowances
+  /** Recent sends of this box to each backend server. */
   readonly recentSends: RecentSends
-  /** Requests that backend servers crash under, as all boxes know it. */
+  /** Requests that crash backend servers, as reported by all boxes. */
   readonly crashes: CrashList
   readonly crashWatch: CrashWatch
-  /** Requests that crash none, as far as this box saw. */
+  /** Requests that servers have answered and outlived, as this box observed. */
   readonly survivors: Survivors
   readonly budgets: Map<string, RetryBudget>
-  /** What organisations may use here. */
+  /** Usage allowances of organisations that this box holds. */
   readonly stock: UsageStock
   readonly prefixes: PrefixMemory
-  /** The engines in the order in which loads are told. */
+  /** The order of the engines in load reports, which carry no names. */
   loadOrder: readonly string[]
-  /** This box leads. */
   leads: boolean
-  /** Whether a leader is known, and from when one is believed to order loads. */
   led: boolean
+  /** When a leader is expected to start ordering loads. */
   ordersFrom: number
-  /** Boxes that share budgets and connections. */
+  /** Number of boxes that share budgets and connections. */
   boxes: number
-  /** How much of the time of the box its steady clock did not count, milliseconds. */
+  /** Total time of suspensions that the clock of the box has counted. */
   suspendedMs: number
-  /** When the box was asked to stop; undefined: it was not. */
+  /** When the box was asked to stop. Undefined if it was not. */
   stoppingAt: number | undefined
   effects: BoxEffect[]
 }
 
-/** Why a request ends without a backend server's answer. */
 export type EndReason =
-  /** It has not run and never will. */
+  /** It has not run and will not. */
   | "not-run"
   /** It may have run. */
   | "unknown"
-  /** Its time is over; it may have run. */
+  /** Its deadline passed; it may have run. */
   | "timeout"
-  /** Its key was taken away while it waited; it has not run and never will. */
+  /** Its key was revoked while it waited; it has not run and will not. */
   | "denied"
-  /** Its organisation has used its limit; it has not run and never will. */
+  /** Its organisation has reached its limit; it has not run and will not. */
   | "over-limit"
-  /** Backend servers crash under it; in this try it has not run and never will. */
+  /** It crashes backend servers; this submission of it has not run and will not. */
   | "crashes-servers"
 
 export type BoxEffect =
@@ -218,11 +249,11 @@
       readonly expectedVersion: number | undefined
       readonly deadlineMs: number
     }
-  /** Passes the answer of the attempt on. */
+  /** Forwards the answer of the attempt to the caller. */
   | {readonly type: "pass"; readonly id: string; readonly attempt: number}
-  /** Ends the attempt's connection. */
+  /** Closes the attempt's connection. */
   | {readonly type: "abort"; readonly id: string; readonly attempt: number}
-  /** Reads the attempt's answer to its end and drops it. */
+  /** Reads the attempt's answer to its end and discards it. */
   | {readonly type: "discard"; readonly id: string; readonly attempt: number}
   | {
       readonly type: "end"
@@ -230,20 +261,24 @@
       readonly reason: EndReason
       readonly retryAfterMs: number
     }
-  /** Cuts the caller's connection: what it got must not look whole. */
+  /** Cuts the caller's connection, since the partial answer must not look complete. */
   | {readonly type: "cut"; readonly id: string}
-  /** Asks the leader whether the request may be sent once more. */
+  /** Requests a retry from the leader. */
   | {readonly type: "ask-retry"; readonly id: string; readonly service: string}
-  /** Tells the leader what organisations used, and asks for allowances. */
+  /** Reports the usage of organisations to the leader and requests allowances. */
   | {
       readonly type: "usage"
       readonly ask: number
       readonly entries: readonly AllowanceAsk[]
     }
-  /** Tells what a server takes from all boxes together: the leader, or all boxes where this one leads. */
+  /**
+   * Reports a server's rate limit to the leader, or to all boxes if this box is the
+   * leader.
+   */
   | {readonly type: "rate-news"; readonly news: RateNews}
-  /** Asks the leader for sends to servers that named rates, and tells it of those before. */
+  /** Requests allowances for sends to rate-limited servers. */
   | {readonly type: "send-asks"; readonly asks: readonly SendAsk[]}
+  /** Reports recent sends to rate-limited servers to the leader. */
   | {readonly type: "sent-lately"; readonly sent: readonly SentLately[]}
   | {readonly type: "need"; readonly need: Need}
   | {readonly type: "drop"; readonly request: string}
@@ -254,13 +289,13 @@
       readonly adapter: string
       readonly late: boolean
     }
-  /** Looks whether the server's address takes a connection. */
+  /** Tests whether the server's address accepts a connection. */
   | {readonly type: "probe"; readonly backend: BackendRecord}
-  /** Tells other boxes of requests that crash servers. */
+  /** Reports requests that crash servers to other boxes. */
   | {readonly type: "crashes"; readonly changes: CrashChanges}
   | {readonly type: "note"; readonly event: BoxNote; readonly fields: NoteFields}
 
-/** The events of the catalogue that a box's decisions raise. */
+/** The log events that a box's decisions raise. */
 export type BoxNote =
   | "route-sent"
   | "route-refused"
@@ -290,7 +325,7 @@
 
 export type NoteFields = Readonly<Record<string, string | number | boolean>>
 
-/** A box that serves nothing yet. */
+/** Creates the state of a box that has no configuration yet. */
 export function createBoxServing(options: BoxOptions): BoxServing {
   return {
     options,
@@ -332,19 +367,19 @@
   }
 }
 
-/** The effects that have come together, and none left. */
+/** Returns the queued effects and clears the queue. */
 export function drainEffects(box: BoxServing): readonly BoxEffect[] {
   const {effects} = box
   box.effects = []
   return effects
 }
 
-/** Queues a numbered event. */
+/** Queues a log event. */
 export function note(box: BoxServing, event: BoxNote, fields: NoteFields): void {
   box.effects.push({type: "note", event, fields})
 }
 
-/** The budget of repeated sends to a service. */
+/** Returns the retry budget of a service. */
 export function budgetOf(box: BoxServing, service: string): RetryBudget {
   const known = box.budgets.get(service)
   if (known) return known
