--- a/src/core/box-choose.ts
+++ b/src/core/box-choose.ts
@@ -1,4 +1,4 @@
-/** Which backend server gets a request, among those that can serve it now. */
+/** Chooses the backend server for a request among those that can serve it now. */
 import type {BackendRecord} from "../types/fleet.js"
 import {adapterKey} from "../types/fleet.js"
 import {viewOf} from "./box-places.js"
@@ -9,37 +9,46 @@
 import {restsForMs} from "./server-notices.js"
 import {isSmall} from "./placement-news.js"
 
-/** A backend server that can take a request, with the version of the weights it holds. */
-export interface Candidate {
+/** A backend server that can take a request, with the adapter version it holds. */
+interface ServerOption {
   readonly backend: BackendRecord
   readonly version: number | undefined
-  /** Prompt tokens that it is believed to have to read. */
-  readonly unread: number
 }
 
-/** A backend server that can take a request, before its cost is known. */
-type Option = Omit<Candidate, "unread">
+export interface Candidate extends ServerOption {
+  /** Estimated prompt tokens that the engine still has to prefill. */
+  readonly unread: number
+}
 
-/** Work in tokens that weighs as much as another data centre does. */
-const FAR_TOKENS = 300
+/** Cost of a backend server in another data centre, as equivalent prompt tokens. */
+const REMOTE_COST_TOKENS = 300
 
-/** Differences in load that mean nothing, tokens. */
-const ALIKE_TOKENS = 10
-/** The same where loads are told seldom: all that were told alike must not choose the same engine. */
-const MANY_ALIKE_TOKENS = 3_000
+/** Jitter that breaks ties among similar loads. */
+const JITTER_TOKENS = 10
+/**
+ * Jitter for many boxes, which receive load reports rarely: larger, so that boxes with
+ * the same report do not all choose the same engine.
+ */
+const MANY_BOXES_JITTER_TOKENS = 3_000
 
 /**
- * Work beyond the mean of those that can take a request, past which an engine is passed over for the
- * next in rank, tokens: what an engine reads in 200 ms. Less sends beginnings away from where they were read,
- * more lets work pile up. Late first answers by simulation of 195 boxes and 55 engines at three quarters
- * of what these can read: 0.6 to 1.9 in 100 at none, 0.3 to 0.6 at 2,000, 0.3 to 0.4 at 4,000, 1.8 at 20,000.
+ * Tolerated excess over the candidates' mean load, about 200 ms of prefill; an engine
+ * above it is skipped for the next in rank. A lower bound sends prefixes away from the
+ * engines that cached them; a higher one lets work pile up. Late first answers in a
+ * simulation of 195 boxes and 55 engines at three quarters of their prefill rate: 0.6 to
+ * 1.9 % at 0, 0.3 to 0.6 % at 2,000, 0.3 to 0.4 % at 4,000 and 1.8 % at 20,000 tokens.
  */
-const BOUND_TOKENS = 4_000
+const EXCESS_LOAD_TOKENS = 4_000
 
-/** Work in tokens that a request counts for which this box sent and the leader has not counted. */
-const OWN_TOKENS = 100
+/**
+ * Estimated work of a request that this box sent and the leader's load may not yet
+ * include.
+ */
+const OWN_REQUEST_TOKENS = 100
 
-/** The best backend server for a request now, if any can take it. */
+/**
+ * Returns the best backend server for a request, or undefined if none can take it now.
+ */
 export function chooseBackend(
   box: BoxServing,
   request: BoxRequest,
@@ -53,85 +62,94 @@
 }
 
 /**
- * Consistent hashing with bounded loads, for engines and many boxes. All boxes rank the engines alike
- * for a prompt's beginning, and take the first that has not more than its part of the work. Boxes that
- * choose the least of what was told some time ago all choose the same engine until they are told again:
- * at 195 boxes 9 to 13 in 100 first answers were late by simulation, of which 0.3 to 0.4 are left.
+ * Consistent hashing with bounded loads, for engines and many boxes. All boxes rank the
+ * engines in the same order for a shared prefix and take the first whose load is within
+ * the bound. If boxes choose the least reported load instead, they all choose the same
+ * engine until the next report: in a simulation of 195 boxes 9 to 13 % of first answers
+ * were late, against 0.3 to 0.4 % with this method.
  */
 function chooseByRank(
   box: BoxServing,
   request: BoxRequest,
-  candidates: readonly Option[],
+  candidates: readonly ServerOption[],
   now: number
 ): Candidate | undefined {
   const {tokens, prefix, weights} = request.arrival
-  const sound = candidates.filter(({backend}) => isSound(box, request, backend.id, now))
-  if (!weights || sound.length < 2) return undefined
-  const loads = new Map(sound.map(({backend}) => [backend.id, workAt(box, backend.id)]))
+  const healthy = candidates.filter(({backend}) =>
+    isHealthy(box, request, backend.id, now)
+  )
+  if (!weights || healthy.length < 2) return undefined
+  const loads = new Map(
+    healthy.map(({backend}) => [backend.id, waitingTokensAt(box, backend.id)])
+  )
   const total = [...loads.values()].reduce((sum, load) => sum + load, 0)
-  const bound = total / sound.length + BOUND_TOKENS
-  const beginning = prefix?.key ?? String(box.options.random())
-  const ranked = rankMembers(beginningKey(request, beginning), [...loads.keys()])
+  const bound = total / healthy.length + EXCESS_LOAD_TOKENS
+  const prefixKey = prefix?.key ?? String(box.options.random())
+  const ranked = rankMembers(toPrefixCacheKey(request, prefixKey), [...loads.keys()])
   const chosen = ranked.find(id => (loads.get(id) ?? 0) <= bound)
-  const option = sound.find(({backend}) => backend.id === chosen)
-  const kept = chosen === ranked[0] ? keptTokens(box, request, now) : 0
-  return option && {...option, unread: tokens - kept}
+  const option = healthy.find(({backend}) => backend.id === chosen)
+  const cached = chosen === ranked[0] ? cachedTokens(box, request, now) : 0
+  return option && {...option, unread: tokens - cached}
 }
 
-/** The least cost wins. */
+/** Chooses the candidate with the least cost. */
 function chooseByCost(
   box: BoxServing,
   request: BoxRequest,
-  candidates: readonly Option[],
+  candidates: readonly ServerOption[],
   now: number
 ): Candidate | undefined {
   const {tokens, prefix} = request.arrival
-  const home = homeOf(request, candidates)
-  const kept = keptTokens(box, request, now)
+  const preferred = findPreferredEngine(request, candidates)
+  const cached = cachedTokens(box, request, now)
   let best: Candidate | undefined
   let least = Infinity
   for (const candidate of candidates) {
     const {backend} = candidate
-    const isHome = home === undefined || home === backend.id
-    const away = isHome ? 0 : (prefix?.tokens ?? 0)
-    const cost = away + costOf(box, request, backend, now)
+    const isPreferred = preferred === undefined || preferred === backend.id
+    const lostPrefixTokens = isPreferred ? 0 : (prefix?.tokens ?? 0)
+    const cost = lostPrefixTokens + costOf(box, request, backend, now)
     if (cost < least) {
       least = cost
-      best = {...candidate, unread: tokens - (isHome ? kept : 0)}
+      best = {...candidate, unread: tokens - (isPreferred ? cached : 0)}
     }
   }
   return best
 }
 
 /**
- * The candidate that is to keep the prompt's shared beginning. All boxes find the same one by
- * rendezvous hashing over beginning and adapter, so that each beginning is read at one engine and
- * not at every one that holds the adapter, from its first request on. Work there weighs against
- * what it saves: another engine is taken as soon as it would begin earlier although it reads all.
+ * Returns the preferred engine for the prompt's shared prefix. All boxes find the same
+ * one by rendezvous hashing over prefix and adapter, so that from its first request on
+ * each prefix is prefilled on one engine instead of on every engine that holds the
+ * adapter. Load there is weighed against the saved prefill: another engine is chosen as
+ * soon as it would start earlier, even though it has to prefill the whole prompt.
  */
-function homeOf(request: BoxRequest, candidates: readonly Option[]): string | undefined {
+function findPreferredEngine(
+  request: BoxRequest,
+  candidates: readonly ServerOption[]
+): string | undefined {
   const {prefix} = request.arrival
   if (!prefix || candidates.length < 2) return undefined
-  const key = beginningKey(request, prefix.key)
-  let home: string | undefined
-  let most = -1
+  const key = toPrefixCacheKey(request, prefix.key)
+  let preferred: string | undefined
+  let highest = -1
   for (const {backend} of candidates) {
     const weight = weighMember(key, backend.id)
-    if (weight > most) {
-      most = weight
-      home = backend.id
+    if (weight > highest) {
+      highest = weight
+      preferred = backend.id
     }
   }
-  return home
+  return preferred
 }
 
-/** A beginning is kept for one adapter. */
-function beginningKey({arrival: {weights}}: BoxRequest, beginning: string): string {
-  return `${weights?.adapter ?? ""} ${beginning}`
+/** Key of a shared prefix; engines cache prefixes per adapter. */
+function toPrefixCacheKey({arrival: {weights}}: BoxRequest, prefixKey: string): string {
+  return `${weights?.adapter ?? ""} ${prefixKey}`
 }
 
-/** Prompt tokens that its home is believed to have read for earlier requests. */
-function keptTokens(box: BoxServing, {arrival}: BoxRequest, now: number): number {
+/** Estimated prompt tokens that the preferred engine has cached from earlier requests. */
+function cachedTokens(box: BoxServing, {arrival}: BoxRequest, now: number): number {
   const {prefix, weights, route, tokens} = arrival
   if (!prefix) return 0
   const adapter = weights?.adapter ?? ""
@@ -139,7 +157,7 @@
   return Math.round(Math.min(tokens, prefix.tokens) * share)
 }
 
-/** Whether some backend server of the service may be sent requests at all. */
+/** Whether the service has any backend server that is not leaving. */
 export function hasBackends(box: BoxServing, service: string): boolean {
   for (const {record} of box.backends.known.values()) {
     if (record.service === service && !record.leaving) return true
@@ -147,7 +165,7 @@
   return false
 }
 
-/** The servers that could take the request now, and named a rate. */
+/** Returns the rate-limited servers that could take the request now. */
 export function listPacedServers(
   box: BoxServing,
   request: BoxRequest,
@@ -159,16 +177,20 @@
     .filter(id => box.rates.of(id) !== undefined)
 }
 
-function listCandidates(box: BoxServing, request: BoxRequest, now: number): Option[] {
+function listCandidates(
+  box: BoxServing,
+  request: BoxRequest,
+  now: number
+): ServerOption[] {
   return listOptions(box, request, now).filter(
     ({backend}) => !isPaced(box, backend.id, now)
   )
 }
 
-/** The servers that can take the request now, whatever rates they named. */
-function listOptions(box: BoxServing, request: BoxRequest, now: number): Option[] {
+/** Returns the servers that can take the request now, regardless of their rate limits. */
+function listOptions(box: BoxServing, request: BoxRequest, now: number): ServerOption[] {
   const {service, weights} = request.arrival
-  const candidates: Option[] = []
+  const candidates: ServerOption[] = []
   for (const {record} of box.backends.known.values()) {
     if (record.service !== service || record.leaving) continue
     if ((request.avoided.get(record.id) ?? 0) > now) continue
@@ -184,17 +206,17 @@
       continue
     }
     const key = adapterKey(weights.model, weights.adapter)
-    const place = view.places.get(key)
-    if (!place || place.readyAt > now) continue
-    const waitMs = workAt(box, record.id) / box.tokensPerMs
-    if (!mayRunOn(box, request, place.version, now, waitMs)) continue
-    candidates.push({backend: record, version: place.version})
+    const slot = view.places.get(key)
+    if (!slot || slot.readyAt > now) continue
+    const waitMs = waitingTokensAt(box, record.id) / box.tokensPerMs
+    if (!mayRunOn(box, request, slot.version, now, waitMs)) continue
+    candidates.push({backend: record, version: slot.version})
   }
   return candidates
 }
 
-/** Whether nothing speaks against the backend server but its load. */
-function isSound(
+/** Whether the backend server is listed, not suspect and not avoided by this request. */
+function isHealthy(
   box: BoxServing,
   {avoided}: BoxRequest,
   id: string,
@@ -204,9 +226,12 @@
   return listed && (box.suspects.get(id) ?? 0) <= now && !avoided.has(id)
 }
 
-/** Prompt tokens that wait at an engine: as told, and as this box sent since. */
-function workAt(box: BoxServing, id: string): number {
-  return (box.engines.get(id)?.load ?? 0) + (box.busy.get(id) ?? 0) * OWN_TOKENS
+/**
+ * Estimated prompt tokens that wait at an engine: the reported load, and this box's
+ * requests in progress.
+ */
+function waitingTokensAt(box: BoxServing, id: string): number {
+  return (box.engines.get(id)?.load ?? 0) + (box.busy.get(id) ?? 0) * OWN_REQUEST_TOKENS
 }
 
 function costOf(
@@ -215,13 +240,16 @@
   backend: BackendRecord,
   now: number
 ): number {
-  const far = backend.dataCentre === box.options.dataCentre ? 0 : FAR_TOKENS
-  const suspect = (box.suspects.get(backend.id) ?? 0) > now ? 1e6 : 0
-  const doubtful = box.backends.known.get(backend.id)?.goneAt === undefined ? 0 : 1e5
-  const failed = request.avoided.has(backend.id) ? 1e5 : 0
-  const own = (box.busy.get(backend.id) ?? 0) * OWN_TOKENS
-  const work = request.arrival.weights ? workAt(box, backend.id) : own
-  const alike = isSmall(box.boxes) ? ALIKE_TOKENS : MANY_ALIKE_TOKENS
-  const jitter = box.options.random() * alike
-  return work + far + suspect + doubtful + failed + jitter
+  const remoteCost =
+    backend.dataCentre === box.options.dataCentre ? 0 : REMOTE_COST_TOKENS
+  const suspectCost = (box.suspects.get(backend.id) ?? 0) > now ? 1e6 : 0
+  const unlistedCost = box.backends.known.get(backend.id)?.goneAt === undefined ? 0 : 1e5
+  const failedCost = request.avoided.has(backend.id) ? 1e5 : 0
+  const ownTokens = (box.busy.get(backend.id) ?? 0) * OWN_REQUEST_TOKENS
+  const waitingTokens = request.arrival.weights
+    ? waitingTokensAt(box, backend.id)
+    : ownTokens
+  const jitterTokens = isSmall(box.boxes) ? JITTER_TOKENS : MANY_BOXES_JITTER_TOKENS
+  const jitter = box.options.random() * jitterTokens
+  return waitingTokens + remoteCost + suspectCost + unlistedCost + failedCost + jitter
 }
