--- a/src/core/box-ends.ts
+++ b/src/core/box-ends.ts
@@ -1,13 +1,16 @@
-/** How requests and their attempts end: the caller is told, and the leader counts them no more. */
+/** Ends requests and attempts, and reports that to the caller and the leader. */
 import type {UseChange} from "../types/box-messages.js"
 import {adapterKey} from "../types/fleet.js"
 import {giveBackCharge} from "./box-charges.js"
 import {type BoxRequest, type BoxServing, type EndReason, note} from "./box-state.js"
 
-/** When callers may come back, milliseconds. */
+/** Default time after which refused callers may retry. */
 const RETRY_AFTER_MS = 400
 
-/** Ends a request without a whole answer: its caller is told, or cut off if an answer had begun. */
+/**
+ * Ends a request without a complete answer: sends the caller an error, or cuts its
+ * connection if an answer had started.
+ */
 export function giveUp(
   box: BoxServing,
   request: BoxRequest,
@@ -33,7 +36,7 @@
   })
 }
 
-/** Closes the connection of the attempt that is under way. */
+/** Closes the connection of the current attempt, if any. */
 export function abortAttempt(box: BoxServing, request: BoxRequest, now: number): void {
   const {attempt, arrival} = request
   if (!attempt || attempt.aborted) return
@@ -42,7 +45,10 @@
   box.effects.push({type: "abort", id: arrival.id, attempt: attempt.number})
 }
 
-/** The attempt under way ends without a whole answer, and not by its server's word: it may have run. */
+/**
+ * Records that the current attempt ended without a complete answer or a refusal, so that
+ * it may have run.
+ */
 export function noteClosed(
   box: BoxServing,
   {arrival: {fingerprint}, attempt}: BoxRequest,
@@ -52,14 +58,14 @@
   box.crashWatch.noteClosed(fingerprint, attempt.backend, now)
 }
 
-/** Forgets a request that has ended. */
+/** Removes a request that has ended. */
 export function finish(box: BoxServing, request: BoxRequest): void {
   leaveAttempt(box, request)
   if (request.needed) dropNeed(box, request)
   box.requests.delete(request.arrival.id)
 }
 
-/** The attempt is over; another may follow. */
+/** Ends the current attempt; another may follow. */
 export function leaveAttempt(box: BoxServing, request: BoxRequest): void {
   if (!request.attempt) return
   if (!request.attempt.started) giveBackCharge(box, request)
@@ -67,13 +73,13 @@
   request.attempt = undefined
 }
 
-/** Tells the leader that it waits no more. */
+/** Withdraws the weights request from the leader. */
 export function dropNeed(box: BoxServing, request: BoxRequest): void {
   request.needed = false
   box.effects.push({type: "drop", request: request.arrival.id})
 }
 
-/** Counts the attempt at its backend server, here and at the leader. */
+/** Counts the current attempt in or out at its backend server, here and at the leader. */
 export function countUse(box: BoxServing, request: BoxRequest, change: 1 | -1): void {
   const {attempt} = request
   if (!attempt) return
@@ -89,7 +95,10 @@
   })
 }
 
-/** Tells the leader of runs begun or ended, and of prompt tokens that wait or were read. */
+/**
+ * Reports attempts that began or ended, and changes of waiting prompt tokens, to the
+ * leader.
+ */
 export function tellUse(
   box: BoxServing,
   {arrival: {weights}}: BoxRequest,
--- a/src/core/box-starts.ts
+++ b/src/core/box-starts.ts
@@ -1,4 +1,7 @@
-/** Whether what was decided at a send still holds as its bytes leave: it may have waited for a connection. */
+/**
+ * Repeats the checks of a send right before its bytes leave, since the attempt may have
+ * waited for a connection.
+ */
 import {isStillHeld} from "./access.js"
 import {isUsable} from "./backend-list.js"
 import {isStopped} from "./box-crashes.js"
@@ -9,7 +12,7 @@
 import {restsForMs} from "./server-notices.js"
 import {mayRunOn} from "./box-versions.js"
 
-/** Why no bytes of the request's attempt may leave now; undefined: they may. */
+/** Returns why the attempt must not be sent now, or undefined if it may be. */
 export function findObstacle(
   box: BoxServing,
   id: string,
