--- a/src/core/box-repeats.ts
+++ b/src/core/box-repeats.ts
@@ -1,26 +1,28 @@
-/** Sending a request once more, after a run that may have begun: whether it is safe, and within the budget. */
+/**
+ * Retries of requests that may have run: whether a retry is safe and within the budget.
+ */
 import {leaveAttempt} from "./box-ends.js"
 import {advance} from "./box-requests.js"
 import {type BoxRequest, type BoxServing, budgetOf, note} from "./box-state.js"
 import {isRepeatable} from "./route-table.js"
 import {runningMs} from "./suspensions.js"
 
-/** A backend server that failed a request is not asked again at once, milliseconds. */
+/** Pause before a backend server that failed a request may be tried for it again. */
 const FAILED_PAUSE_MS = 200
 
-/** Whether it may run once more, elsewhere, and the box has a repeat for it. */
+/** Whether the request may run again and the retry budget allows it. */
 export function mayRepeat(box: BoxServing, request: BoxRequest, now: number): boolean {
   if (!allowsRepeat(request)) return false
   return budgetOf(box, request.arrival.service).left(runningMs(box, now), box.boxes) > 0
 }
 
-/** Whether it may run once more, elsewhere, if there is a repeat for it. */
+/** Whether the request may run again, regardless of the retry budget. */
 export function allowsRepeat({arrival: {route}, attempts, replied}: BoxRequest): boolean {
   if (!isRepeatable(route) || attempts >= route.maxAttempts) return false
   return !replied || route.kind === "streaming"
 }
 
-/** Sends it once more, after a run that may have begun. */
+/** Retries a request that may have run. */
 export function repeat(
   box: BoxServing,
   request: BoxRequest,
@@ -31,7 +33,7 @@
   advance(box, request, now)
 }
 
-/** An attempt that may have run is over, and the request goes on elsewhere. */
+/** Ends an attempt that may have run, before the request is retried. */
 export function noteRun(
   box: BoxServing,
   request: BoxRequest,
