--- a/src/core/box-asks.ts
+++ b/src/core/box-asks.ts
@@ -1,6 +1,6 @@
 /**
- * Requests that may be sent once more where the box has no repeat of its own left: the leader, which is
- * a message away, gives one out of what all boxes share.
+ * Retries beyond the box's own retry budget: the box requests them from the leader, which
+ * grants them from the budget shared by all boxes.
  */
 import {giveUp, leaveAttempt} from "./box-ends.js"
 import {advance} from "./box-requests.js"
@@ -8,17 +8,21 @@
 import {isSmall} from "./placement-news.js"
 
 /**
- * The leader's answer takes some milliseconds; a request is not held longer than this for it, so that
- * its caller, who is told that it did not run, can still come back in time.
+ * Longest wait for the leader's answer, which normally takes some milliseconds. Short
+ * enough that a caller that learns that its request did not run can retry within its
+ * deadline.
  */
 export const ASK_RETRY_MS = 150
 
-/** Whether there is a leader to ask. Few boxes divide the whole budget among them. */
+/**
+ * Whether a retry can be requested from a leader. Few boxes divide the whole budget among
+ * themselves and need no leader for it.
+ */
 export function mayAsk({boxes, led}: BoxServing): boolean {
   return led && !isSmall(boxes)
 }
 
-/** Asks the leader for a repeat; the request waits for the answer. */
+/** Requests a retry from the leader; the request waits for the answer. */
 export function askRetry(box: BoxServing, request: BoxRequest, now: number): void {
   leaveAttempt(box, request)
   const {id, service} = request.arrival
@@ -26,7 +30,7 @@
   box.effects.push({type: "ask-retry", id, service})
 }
 
-/** The leader's answer, for a request that still waits for it. */
+/** Handles the leader's answer for a request that still waits for it. */
 export function takeRetry(
   box: BoxServing,
   id: string,
@@ -36,19 +40,21 @@
   const request = box.requests.get(id)
   if (request?.askedAt === undefined) return
   request.askedAt = undefined
-  if (!allowed) return giveUpUnsent(box, request, now)
+  if (!allowed) return failUnsent(box, request, now)
   request.granted = true
   advance(box, request, now)
 }
 
-/** Ends the wait for an answer that does not come; true: the request is over. */
+/**
+ * Fails a request whose retry request was not answered in time. Returns whether it did.
+ */
 export function endLateAsk(box: BoxServing, request: BoxRequest, now: number): boolean {
   const {askedAt} = request
   if (askedAt === undefined || now - askedAt < ASK_RETRY_MS) return false
-  giveUpUnsent(box, request, now)
+  failUnsent(box, request, now)
   return true
 }
 
-function giveUpUnsent(box: BoxServing, request: BoxRequest, now: number): void {
+function failUnsent(box: BoxServing, request: BoxRequest, now: number): void {
   giveUp(box, request, request.runs > 0 ? "unknown" : "not-run", now)
 }
--- a/src/core/box-doubts.ts
+++ b/src/core/box-doubts.ts
@@ -1,37 +1,37 @@
-/** What failed attempts tell of backend servers and of the places of their weights. */
+/** Consequences of failed attempts for backend servers and their slots. */
 import {adapterKey} from "../types/fleet.js"
 import {type Attempt, type BoxRequest, type BoxServing, note} from "./box-state.js"
 
-/** How an attempt ended without a whole answer. */
+/** How an attempt ended without a complete answer. */
 export type AttemptFailure =
-  /** Nothing was sent. */
   | "not-sent"
-  /** The backend server said that it did not run it. */
+  /** The backend server reported that it did not run it. */
   | "refused"
-  /** As above, since it does not hold the weights, or is another than expected. */
+  /** As above, because it does not hold the weights or is not the expected server. */
   | "misplaced"
-  /** The connection broke or the answer was none. */
+  /** The connection broke or the answer was invalid. */
   | "broken"
   /**
-   * What it was sent by holds no longer, and the engine did nothing wrong: its version was replaced, or the
-   * news is too old. Its connection was closed before it began, or nothing was sent.
+   * The conditions of the send no longer hold and the engine did nothing wrong: for
+   * example its version was replaced or the snapshot is stale. The connection was closed
+   * before the request began, or nothing was sent.
    */
   | "overtaken"
 
-/** How long a backend server that failed is left alone where others can do, milliseconds. */
+/** How long other servers are preferred to a backend server that failed. */
 export const SUSPECT_MS = 2_500
 
-/** Weights that are late are asked for again after this, milliseconds. */
+/** First pause before a server that refused a request is tried for it again. */
 export const REFUSED_PAUSE_MS = 60
 
-/** The backend server said that it did not run it. */
+/** Whether the backend server reported that it did not run the request. */
 export function isRefusal(failure: AttemptFailure): failure is "misplaced" | "refused" {
   return failure === "misplaced" || failure === "refused"
 }
 
 /**
- * An engine refused a request for an adapter that it was believed to hold; true: the weights are
- * only late, and another engine would have to begin from nothing.
+ * Handles an engine's refusal of an adapter that it should hold. Returns whether the
+ * weights are only late; another engine would have to load them from the start.
  */
 export function doubtPlace(
   box: BoxServing,
@@ -43,19 +43,20 @@
   const {weights} = request.arrival
   if (weights?.adapter === undefined) return false
   const adapter = adapterKey(weights.model, weights.adapter)
-  const places = box.engines.get(backend)?.places
-  const place = places?.get(adapter)
-  if (!places || !place) return false
-  // What has come lately may still be on its way; a shed request says nothing of weights.
-  const late = place.fresh
-  if (late) places.set(adapter, {...place, readyAt: now + REFUSED_PAUSE_MS})
-  else if (failure === "misplaced") places.delete(adapter)
+  const slots = box.engines.get(backend)?.places
+  const slot = slots?.get(adapter)
+  if (!slots || !slot) return false
+  // Recently ordered weights may still be loading. A shed request (`refused`) says
+  // nothing about weights.
+  const isLate = slot.fresh
+  if (isLate) slots.set(adapter, {...slot, readyAt: now + REFUSED_PAUSE_MS})
+  else if (failure === "misplaced") slots.delete(adapter)
   else return false
-  box.effects.push({type: "missing", engine: backend, adapter, late})
-  return late
+  box.effects.push({type: "missing", engine: backend, adapter, late: isLate})
+  return isLate
 }
 
-/** Other backend servers go first for a while. */
+/** Marks the backend server as suspect, so that others are preferred for a while. */
 export function suspect(box: BoxServing, backend: string, now: number): void {
   if ((box.suspects.get(backend) ?? 0) <= now) note(box, "backend-suspect", {backend})
   box.suspects.set(backend, now + SUSPECT_MS)
