--- a/src/core/box-places.ts
+++ b/src/core/box-places.ts
@@ -1,41 +1,45 @@
 /**
- * What a box believes engines hold and how much work waits there: a picture from the leader, its
- * changes, and what engines said themselves. It outlasts the leader: without one, every box goes on
- * sending requests to what engines hold.
+ * A box's view of engines: the adapters they hold and the work that waits there, from the
+ * leader's full snapshot and deltas, or from what engines report themselves. The view
+ * outlasts the leader: without one, boxes go on sending requests to the engines that hold
+ * the adapters.
  */
 import type {EngineChange, EngineLoads, EngineNews} from "../types/box-messages.js"
 import {adapterKey, type BackendRecord} from "../types/fleet.js"
 import type {BoxServing} from "./box-state.js"
 import {toTokens} from "./placement-news.js"
 
-/** A place as this box sees it. */
+/** A slot of an engine, as this box sees it. */
 export interface PlaceView {
   readonly version: number
   readonly readyAt: number
-  /** Its weights came lately: a refusal may mean that they are on their way. */
+  /** Loaded recently: a refusal may mean that the weights are still loading. */
   readonly fresh: boolean
 }
 
-/** An engine as the leader told it, or as it said itself. */
+/** An engine as the leader or the engine itself reported it. */
 export interface EngineView {
   models: ReadonlySet<string>
   readonly places: Map<string, PlaceView>
-  /** Prompt tokens that wait to be read there. */
+  /** Prompt tokens that wait there for prefill. */
   load: number
   toldAt: number
 }
 
-/** How long after it was due a place counts as fresh, milliseconds. */
+/** How long a slot counts as fresh after it became ready. */
 const FRESH_MS = 400
 
-/** Adapters remembered of each engine: about what an engine keeps near. */
-const MAX_HELD = 34
+/**
+ * Recent adapters remembered for each engine: about as many as an engine host keeps in
+ * memory.
+ */
+const MAX_RECENT_ADAPTERS = 34
 
-/** What is known of an engine: the leader's word, else its own. */
+/** Returns the view of an engine: from the leader, else from the engine's own record. */
 export function viewOf(box: BoxServing, backend: BackendRecord): EngineView {
-  const told = box.engines.get(backend.id)
-  if (told) return told
-  const places = backend.models.flatMap(({name, adapters}) =>
+  const known = box.engines.get(backend.id)
+  if (known) return known
+  const slots = backend.models.flatMap(({name, adapters}) =>
     [...adapters].map(
       ([adapter, version]) =>
         [adapterKey(name, adapter), {version, readyAt: 0, fresh: false}] as const
@@ -43,29 +47,29 @@
   )
   return {
     models: new Set(backend.models.map(({name}) => name)),
-    places: new Map(places),
+    places: new Map(slots),
     load: 0,
     toldAt: 0
   }
 }
 
-/** Takes a picture of engines: what was known of them is replaced. */
+/** Applies a full snapshot of engines, which replaces their views. */
 export function takePicture(
   box: BoxServing,
   engines: readonly EngineNews[],
   now: number
 ): void {
   for (const {engine, models, places} of engines) {
-    const before = box.engines.get(engine)
-    const view = createView(models, before?.load ?? 0)
-    addPlaces(view, places, before, now)
+    const previous = box.engines.get(engine)
+    const view = createView(models, previous?.load ?? 0)
+    addSlots(view, places, previous, now)
     box.engines.set(engine, view)
     view.toldAt = now
-    noteHeld(box, engine, view.places.keys(), now)
+    recordHeldAdapters(box, engine, view.places.keys(), now)
   }
 }
 
-/** Takes what changed on engines. */
+/** Applies deltas of engines. */
 export function takeChanges(
   box: BoxServing,
   changes: readonly EngineChange[],
@@ -76,9 +80,9 @@
     box.engines.set(engine, view)
     if (models) view.models = new Set(models)
     for (const adapter of gone) view.places.delete(adapter)
-    addPlaces(view, places, view, now)
+    addSlots(view, places, view, now)
     view.toldAt = now
-    noteHeld(
+    recordHeldAdapters(
       box,
       engine,
       places.map(({adapter}) => adapter),
@@ -87,7 +91,7 @@
   }
 }
 
-/** Takes the work that waits at each engine. */
+/** Applies the reported load of each engine. */
 export function takeLoads(
   box: BoxServing,
   {order, hundreds, tokensPerMs}: EngineLoads
@@ -104,15 +108,15 @@
   return {models: new Set(models), places: new Map(), load, toldAt: 0}
 }
 
-function addPlaces(
+function addSlots(
   view: EngineView,
   places: EngineNews["places"],
-  before: EngineView | undefined,
+  previous: EngineView | undefined,
   now: number
 ): void {
   for (const {adapter, version, readyInMs} of places) {
-    const known = before?.places.get(adapter)
-    const fresh = readyInMs > 0 || (known !== undefined && isFresh(known, now))
+    const earlier = previous?.places.get(adapter)
+    const fresh = readyInMs > 0 || (earlier !== undefined && isFresh(earlier, now))
     view.places.set(adapter, {version, readyAt: now + readyInMs, fresh})
   }
 }
@@ -121,20 +125,20 @@
   return fresh && now - readyAt < FRESH_MS
 }
 
-function noteHeld(
+function recordHeldAdapters(
   box: BoxServing,
   engine: string,
   adapters: Iterable<string>,
   now: number
 ): void {
-  const held = box.held.get(engine) ?? new Map<string, number>()
-  box.held.set(engine, held)
+  const recent = box.held.get(engine) ?? new Map<string, number>()
+  box.held.set(engine, recent)
   for (const adapter of adapters) {
-    held.delete(adapter)
-    held.set(adapter, now)
+    recent.delete(adapter)
+    recent.set(adapter, now)
   }
-  for (const oldest of held.keys()) {
-    if (held.size <= MAX_HELD) return
-    held.delete(oldest)
+  for (const oldest of recent.keys()) {
+    if (recent.size <= MAX_RECENT_ADAPTERS) return
+    recent.delete(oldest)
   }
 }
--- a/src/core/box-versions.ts
+++ b/src/core/box-versions.ts
@@ -1,4 +1,4 @@
-/** What a box knows of the versions of adapters, and which of them its requests run on. */
+/** The adapter versions that a box knows, and which of them its requests may run on. */
 import {adapterKey} from "../types/fleet.js"
 import {
   type AdapterVersions,
@@ -11,53 +11,63 @@
 import {readWithoutAt} from "./box-news.js"
 import {type Attempt, type BoxRequest, type BoxServing, note} from "./box-state.js"
 
-/** An adapter and a version of it that was named. */
-type Named = readonly [adapter: string, version: number]
+/** An adapter key and an announced version. */
+type VersionUpdate = readonly [adapter: string, version: number]
 
-/** Versions that one log line names; a box that starts hears of all there are. */
-const MOST_LOGGED = 20
+/** Versions listed in one log line; a starting box receives all versions at once. */
+const MAX_LOGGED_VERSIONS = 20
 
-/** Where nothing tells the age of a version, in log lines. */
-const AGE_UNKNOWN = -1
+/** Age in log lines if it is unknown. */
+const UNKNOWN_AGE_MS = -1
 
-/** Takes the newest versions of adapters; none ever goes down. */
+/**
+ * Records announced versions of adapters; the newest version of an adapter never goes
+ * down.
+ */
 export function takeVersions(
   box: BoxServing,
-  versions: readonly Named[],
+  versions: readonly VersionUpdate[],
   now: number
 ): void {
-  // Heard late is not named late: counted from the last reading, which did not have it.
-  const namedAfter = readWithoutAt(box, now) ?? -Infinity
-  const newer: Named[] = []
+  // A late update does not mean a late announcement: the version may have been announced
+  // right after the last store read that lacked it.
+  const announcedAfter = readWithoutAt(box, now) ?? -Infinity
+  const newer: VersionUpdate[] = []
   for (const [adapter, version] of versions) {
     const known = box.versions.get(adapter) ?? []
-    const named = nameVersion(known, version, namedAfter, now)
-    if (named === known) continue
-    box.versions.set(adapter, named)
+    const updated = nameVersion(known, version, announcedAfter, now)
+    if (updated === known) continue
+    box.versions.set(adapter, updated)
     newer.push([adapter, version])
   }
   if (newer.length === 0) return
-  const listed = newer.slice(0, MOST_LOGGED).map(named => named.join("@"))
+  const listed = newer.slice(0, MAX_LOGGED_VERSIONS).map(named => named.join("@"))
   note(box, "versions-named", {
     count: newer.length,
     versions: listed.join(" "),
-    ageMs: toLogged(now - namedAfter)
+    ageMs: toLogged(now - announcedAfter)
   })
 }
 
-/** How long ago at most the version that the attempt runs on was replaced; 0: it is the newest. */
+/**
+ * Returns for how long at most the version that the attempt runs on has been replaced; 0
+ * means that it is the newest.
+ */
 export function oldForMs(
   box: BoxServing,
   request: BoxRequest,
   version: number | undefined,
   now: number
 ): number {
-  return version === undefined ? 0 : replacedForMs(namedFor(box, request), version, now)
+  return version === undefined
+    ? 0
+    : replacedForMs(announcedVersionsFor(box, request), version, now)
 }
 
 /**
- * Whether the request may be sent to that version of its adapter, where it is to wait so long before it
- * begins; undefined: it asks for none.
+ * Whether the request may be sent to an engine that holds this version and where it is
+ * expected to wait for `waitMs` before it starts. An undefined version means that no
+ * adapter is requested.
  */
 export function mayRunOn(
   box: BoxServing,
@@ -67,31 +77,32 @@
   waitMs = 0
 ): boolean {
   if (version === undefined) return true
-  const named = namedFor(box, request)
-  if (!tellsBegin(request)) return version >= newestOf(named)
-  return !isOutdated(named, version, now) && !isOver(named, version, now + waitMs)
+  const announced = announcedVersionsFor(box, request)
+  if (!hasVisibleStart(request)) return version >= newestOf(announced)
+  return !isOutdated(announced, version, now) && !isOver(announced, version, now + waitMs)
 }
 
-/** Whether the attempt may not begin any more on the version that it was sent to. */
+/** Whether it is too late for the attempt to start on the version that it was sent to. */
 export function isTooLateToBegin(
   box: BoxServing,
   request: BoxRequest,
   {version}: Attempt,
   now: number
 ): boolean {
-  if (version === undefined || !tellsBegin(request)) return false
-  return isOver(namedFor(box, request), version, now)
+  if (version === undefined || !hasVisibleStart(request)) return false
+  return isOver(announcedVersionsFor(box, request), version, now)
 }
 
 /**
- * Whether the answer's head tells that the request has begun. An answer that is not streamed comes whole at
- * its end: such a request is never sent to a replaced version, since nothing tells what to take back.
+ * Whether the answer's head shows that the request has started. An answer that is not
+ * streamed arrives as a whole after the run; such a request is never sent to a replaced
+ * version, since nothing shows whether it has started or can still be aborted.
  */
-function tellsBegin({arrival: {route}}: BoxRequest): boolean {
+function hasVisibleStart({arrival: {route}}: BoxRequest): boolean {
   return route.kind === "streaming"
 }
 
-/** An answer begins: tells how old the version is that it is made with, if a newer one is known. */
+/** Logs the age of the version that an answer starts with, if a newer one is known. */
 export function noteBegun(
   box: BoxServing,
   request: BoxRequest,
@@ -111,13 +122,13 @@
   })
 }
 
-/** An age for log lines and metrics, whole milliseconds. */
+/** Rounds an age for log lines and metrics. */
 export function toLogged(ageMs: number): number {
-  return ageMs === Infinity ? AGE_UNKNOWN : Math.round(ageMs)
+  return ageMs === Infinity ? UNKNOWN_AGE_MS : Math.round(ageMs)
 }
 
-/** The versions that were named of the adapter that a request asks for. */
-function namedFor(
+/** Returns the announced versions of the adapter that the request asks for. */
+function announcedVersionsFor(
   {versions}: BoxServing,
   {arrival: {weights}}: BoxRequest
 ): AdapterVersions {
