--- a/src/core/box-charges.ts
+++ b/src/core/box-charges.ts
@@ -1,10 +1,13 @@
-/** Charges each send of a request to what its organisation may use. */
+/** Charges each send of a request to the usage allowance of its organisation. */
 import type {UsageLimit} from "../types/organisations.js"
 import type {BoxRequest, BoxServing} from "./box-state.js"
 import {costOf} from "./usage-limits.js"
 import type {Charge} from "./usage-stock.js"
 
-/** Charges a request for its next send; undefined: its organisation has no allowance left. */
+/**
+ * Charges a request for its next send. Returns `free` if no limit applies, and undefined
+ * if the allowance does not suffice.
+ */
 export function chargeSend(
   box: BoxServing,
   request: BoxRequest,
@@ -16,7 +19,7 @@
   return box.stock.charge(organisation, costOf(limit, usage), now)
 }
 
-/** The attempt did not run: what it was charged can be used by others. */
+/** Refunds the charge of an attempt that did not run. */
 export function giveBackCharge(box: BoxServing, request: BoxRequest): void {
   const charge = request.attempt?.charge
   if (!request.attempt || !charge) return
@@ -24,7 +27,7 @@
   box.stock.giveBack(charge)
 }
 
-/** The limit of the organisation whose request it is; undefined: it has none. */
+/** Returns the usage limit of the request's organisation, or undefined if it has none. */
 export function limitFor(
   {table}: BoxServing,
   {arrival: {organisation}}: BoxRequest
@@ -32,7 +35,7 @@
   return organisation === undefined ? undefined : table?.limited.get(organisation)
 }
 
-/** What one send of the request uses. */
+/** Returns the cost of one send of the request, in units of its limit. */
 export function costFor(box: BoxServing, request: BoxRequest): number {
   const limit = limitFor(box, request)
   return limit ? costOf(limit, request.arrival.usage) : 0
--- a/src/core/box-take-backs.ts
+++ b/src/core/box-take-backs.ts
@@ -1,6 +1,7 @@
 /**
- * What waits at an engine on a version that was replaced meanwhile. An engine that is told to replace the
- * version turns it away unrun; where no such order comes through, it would begin seconds later.
+ * Aborts attempts that wait at an engine on a version that has been replaced meanwhile.
+ * An engine that receives the order to replace the version rejects them unrun. Without
+ * that order, they would start seconds later on the old version.
  */
 import {abortAttempt} from "./box-ends.js"
 import {attemptFailed} from "./box-attempts.js"
@@ -8,8 +9,9 @@
 import {isTooLateToBegin} from "./box-versions.js"
 
 /**
- * Closes the connection of an attempt that has not begun while it might, and goes on elsewhere where that
- * is safe; true: it did. Whether it ran is not known then, so what may not run twice ends as that.
+ * Aborts an attempt that has not started and that may no longer start on its version, and
+ * retries the request if that is safe. Returns whether it did. Whether the attempt ran is
+ * then unknown, so a request that must not run twice ends with an unknown outcome.
  */
 export function takeBackIfOutdated(
   box: BoxServing,
@@ -17,8 +19,8 @@
   attempt: Attempt,
   now: number
 ): boolean {
-  const begun = attempt.headed || attempt.firstAt !== undefined
-  if (begun || !isTooLateToBegin(box, request, attempt, now)) return false
+  const hasStarted = attempt.headed || attempt.firstAt !== undefined
+  if (hasStarted || !isTooLateToBegin(box, request, attempt, now)) return false
   const {id, name, weights} = request.arrival
   note(box, "old-version-taken-back", {
     request: name,
