--- a/src/core/box-pacing.ts
+++ b/src/core/box-pacing.ts
@@ -1,32 +1,41 @@
 /**
- * Requests that could go only to servers that named the rate they take, and for which this box holds no allowance:
- * they wait a little for one, and go on to other servers or are refused where there is no room in time.
+ * Requests that only rate-limited servers could take and for which this box holds no
+ * allowance. They wait briefly for one, then go to other servers, or are refused if there
+ * is no room in time.
  */
 import type {SendAsk} from "../types/rate-messages.js"
 import {type BoxRequest, type BoxServing, note} from "./box-state.js"
 import {runningMs} from "./suspensions.js"
 import type {SendNeed} from "./send-allowances.js"
 
-/** Of the target, the part that a request waits for an allowance at most: its caller can still come back in time. */
+/**
+ * Longest wait for an allowance, as a part of the target time: the caller can still retry
+ * in time.
+ */
 const HOLD_SHARE = 0.25
 
-/** A server that has not named its rate for so long is due a request: its answer may end the rate, milliseconds. */
-const DUE_MS = 3_000
+/**
+ * A server that has not advertised its rate for this long is sent a request if there is
+ * one, since its answer may end the rate limit.
+ */
+const RATE_CHECK_MS = 3_000
 
-/** Nothing waits: what is asked for is stock, for the least urgent. */
+/** Nothing waits: the request is for stock, at the lowest priority. */
 const NO_NEED: SendNeed = {count: 0, rank: 9, waitMs: 0}
 
-/** Whether the server takes only requests with an allowance, of which this box holds none. */
+/** Whether the server is rate-limited and this box holds no allowance for it. */
 export function isPaced(box: BoxServing, server: string, now: number): boolean {
   return box.rates.of(server) !== undefined && !box.allowances.holds(server, now)
 }
 
-/** In how long there may be room at the server, milliseconds; 0: there may be now, as far as is known. */
+/** Returns the time until the server may have room; 0 means possibly now. */
 export function pacedForMs(box: BoxServing, server: string, now: number): number {
   return isPaced(box, server, now) ? box.allowances.fullForMs(server, now) : 0
 }
 
-/** Counts a request that came in for the servers of its service that named rates. */
+/**
+ * Records the demand of an incoming request at the rate-limited servers of its service.
+ */
 export function notePacedDemand(
   box: BoxServing,
   servers: readonly string[],
@@ -35,7 +44,10 @@
   for (const server of servers) box.allowances.noteDemand(server, now)
 }
 
-/** Has a request wait for an allowance of one of the servers that could take it; false: none can in time. */
+/**
+ * Makes a request wait for an allowance of one of the servers that could take it. Returns
+ * false if none can arrive in time.
+ */
 export function awaitSend(
   box: BoxServing,
   request: BoxRequest,
@@ -43,15 +55,15 @@
   now: number
 ): boolean {
   if (servers.length === 0) return false
-  const open = servers.find(server => mayComeInTime(box, request, server, now))
-  if (!request.paced) notePaced(box, request, open ?? (servers[0] as string), now)
-  request.paced = {server: open, since: request.paced?.since ?? now}
-  if (open === undefined) return false
+  const available = servers.find(server => canArriveInTime(box, request, server, now))
+  if (!request.paced) logPaced(box, request, available ?? (servers[0] as string), now)
+  request.paced = {server: available, since: request.paced?.since ?? now}
+  if (available === undefined) return false
   askSends(box, now)
   return true
 }
 
-function mayComeInTime(
+function canArriveInTime(
   box: BoxServing,
   request: BoxRequest,
   server: string,
@@ -60,7 +72,7 @@
   const leftMs = holdLeftMs(request, now)
   if (leftMs <= 0) return false
   if (box.allowances.fullForMs(server, now) === 0) return true
-  // One was given in advance, for this request or another that waits.
+  // An allowance was granted in advance, for this or another waiting request.
   return (
     request.paced?.server === server && box.allowances.comesInMs(server, now) < leftMs
   )
@@ -70,7 +82,7 @@
   return HOLD_SHARE * arrival.route.targetMs - (now - (paced?.since ?? now))
 }
 
-function notePaced(
+function logPaced(
   box: BoxServing,
   {arrival}: BoxRequest,
   server: string,
@@ -84,16 +96,21 @@
   })
 }
 
-/** Asks the leader for what waits, and for stock; without a leader the box takes its own part. */
+/**
+ * Requests allowances for waiting requests and for stock from the leader; without a
+ * leader, uses the box's fallback share.
+ */
 export function askSends(box: BoxServing, now: number): void {
   const servers = box.rates.list()
   if (servers.length === 0) return
   const needs = listSendNeeds(box, now)
-  const asks = servers.flatMap(server => askFor(box, server, needs.get(server), now))
+  const asks = servers.flatMap(server =>
+    buildSendAsks(box, server, needs.get(server), now)
+  )
   if (asks.length > 0) box.effects.push({type: "send-asks", asks})
 }
 
-function askFor(
+function buildSendAsks(
   box: BoxServing,
   server: string,
   need: SendNeed | undefined,
@@ -101,19 +118,19 @@
 ): SendAsk[] {
   const {allowances, rates} = box
   if (!box.led || allowances.isSilent(server, now)) {
-    if (need && !allowances.holds(server, now)) takeOwnPart(box, server, now)
+    if (need && !allowances.holds(server, now)) useFallbackShare(box, server, now)
     return []
   }
-  const isDue = now - rates.heardAt(server) > DUE_MS
+  const isDue = now - rates.heardAt(server) > RATE_CHECK_MS
   const ask = allowances.collect(server, need ?? NO_NEED, isDue, now)
   return ask ? [ask] : []
 }
 
-function takeOwnPart(box: BoxServing, server: string, now: number): void {
+function useFallbackShare(box: BoxServing, server: string, now: number): void {
   const {rates, allowances, boxes, options} = box
   const perSecond = rates.of(server) ?? 0
-  const part = {perSecond, boxes, draw: options.random()}
-  allowances.takeOwn(server, part, runningMs(box, now), now)
+  const share = {perSecond, boxes, draw: options.random()}
+  allowances.takeOwn(server, share, runningMs(box, now), now)
 }
 
 function listSendNeeds(box: BoxServing, now: number): Map<string, SendNeed> {
@@ -133,14 +150,17 @@
   return needs
 }
 
-/** Requests that wait for allowances, the most urgent first. */
+/** Returns the requests that wait for send allowances, the most urgent first. */
 export function listPaced(box: BoxServing): BoxRequest[] {
   return [...box.requests.values()]
     .filter(({paced, attempt}) => paced?.server !== undefined && !attempt)
     .sort((a, b) => a.arrival.rank - b.arrival.rank)
 }
 
-/** What this box sent lately to servers that name rates now, for a leader that has to count it. */
+/**
+ * Reports this box's recent sends to these rate-limited servers, for a new leader's
+ * counts.
+ */
 export function tellSentLately(
   box: BoxServing,
   servers: readonly string[],
--- a/src/core/box-usage.ts
+++ b/src/core/box-usage.ts
@@ -1,6 +1,7 @@
 /**
- * What requests of organisations with limits use: each send is charged to an allowance of the leader's.
- * A request whose organisation has none left waits for one, or is told when there may be room again.
+ * Usage limits of organisations: the leader grants each box allowances, to which sends
+ * are charged. A request without enough allowance waits for more, or is refused with the
+ * time at which there may be room again.
  */
 import {giveUp} from "./box-ends.js"
 import {expectedOrderMs} from "./box-waits.js"
@@ -9,37 +10,46 @@
 import {costOf} from "./usage-limits.js"
 import type {UsageNeed} from "./usage-stock.js"
 
-/** Of the target, the part that a request waits for an allowance at most: its caller can still come back in time. */
+/**
+ * Longest wait for an allowance, as a part of the target time: the caller can still retry
+ * in time.
+ */
 const HOLD_SHARE = 0.25
 
-/** Callers beyond the limit come back within so much more than they were told at least. */
-const COME_BACK_SPREAD = 0.5
+/** Random extension of `retryAfterMs` for callers over their limit, as a part of it. */
+const RETRY_JITTER_SHARE = 0.5
 
-/** Before that there is no use in coming back, milliseconds. */
-const LEAST_COME_BACK_MS = 200
+/** Shortest time after which a retry is worthwhile. */
+const MIN_RETRY_AFTER_MS = 200
 
-/** Plain requests for which each box keeps an allowance of each organisation that calls it. */
-const STOCKED_PLAIN = 2
+/**
+ * Plain requests for which each box keeps an allowance in stock, for each organisation
+ * that calls it.
+ */
+const STOCKED_PLAIN_REQUESTS = 2
 
-/** A request that could be sent has no allowance: it waits, or is refused at once where there is no room. */
+/** Makes a request wait for an allowance, or refuses it if none can arrive in time. */
 export function awaitAllowance(box: BoxServing, request: BoxRequest, now: number): void {
   if (refuseIfFull(box, request, now)) return
-  if (refuseIfLeaderless(box, request, now)) return
+  if (refuseIfNoLeader(box, request, now)) return
   request.chargeAsked ??= now
   askAllowances(box, now)
 }
 
-/** Nobody gives allowances for longer than the request can wait: its caller comes back when somebody does. */
-function refuseIfLeaderless(box: BoxServing, request: BoxRequest, now: number): boolean {
+/**
+ * Refuses a request if no leader is expected to grant allowances within its waiting time.
+ * Returns whether it did.
+ */
+function refuseIfNoLeader(box: BoxServing, request: BoxRequest, now: number): boolean {
   const leaderInMs = expectedOrderMs(box, now)
   if (leaderInMs <= HOLD_SHARE * request.arrival.route.targetMs) return false
-  const spread = 1 + COME_BACK_SPREAD * box.options.random()
+  const jitter = 1 + RETRY_JITTER_SHARE * box.options.random()
   const reason = request.runs > 0 ? "unknown" : "not-run"
-  giveUp(box, request, reason, now, Math.round(leaderInMs * spread))
+  giveUp(box, request, reason, now, Math.round(leaderInMs * jitter))
   return true
 }
 
-/** Refuses a request whose organisation has used its limit; true: it is over. */
+/** Refuses a request whose organisation has reached its limit. Returns whether it did. */
 export function refuseIfFull(box: BoxServing, request: BoxRequest, now: number): boolean {
   const {organisation} = request.arrival
   if (organisation === undefined || !limitFor(box, request)) return false
@@ -47,13 +57,13 @@
   if (fullMs === 0 || box.stock.holds(organisation, costFor(box, request), now)) {
     return false
   }
-  const spread = 1 + COME_BACK_SPREAD * box.options.random()
-  const comeBackMs = Math.round(Math.max(LEAST_COME_BACK_MS, fullMs) * spread)
-  giveUp(box, request, request.runs > 0 ? "unknown" : "over-limit", now, comeBackMs)
+  const jitter = 1 + RETRY_JITTER_SHARE * box.options.random()
+  const retryAfterMs = Math.round(Math.max(MIN_RETRY_AFTER_MS, fullMs) * jitter)
+  giveUp(box, request, request.runs > 0 ? "unknown" : "over-limit", now, retryAfterMs)
   return true
 }
 
-/** Ends the wait for an allowance that does not come; true: the request is over. */
+/** Fails a request whose allowance did not arrive in time. Returns whether it did. */
 export function endLateCharge(
   box: BoxServing,
   request: BoxRequest,
@@ -66,7 +76,7 @@
   return true
 }
 
-/** Tells the leader what was used, and asks for what is needed and soon will be. */
+/** Reports usage to the leader and requests the allowances needed now and soon. */
 export function askAllowances(box: BoxServing, now: number): void {
   if (!box.table || box.table.limited.size === 0) return
   const collected = box.stock.collect(listNeeds(box), now)
@@ -79,11 +89,11 @@
     const {organisation} = request.arrival
     const limit = limitFor(box, request)
     if (organisation === undefined || !limit) continue
-    const waits = request.chargeAsked !== undefined && !request.attempt
+    const isWaiting = request.chargeAsked !== undefined && !request.attempt
     const {need} = needs.get(organisation) ?? {need: 0}
     needs.set(organisation, {
-      need: need + (waits ? costFor(box, request) : 0),
-      least: STOCKED_PLAIN * costOf(limit, undefined)
+      need: need + (isWaiting ? costFor(box, request) : 0),
+      least: STOCKED_PLAIN_REQUESTS * costOf(limit, undefined)
     })
   }
   return needs
