--- a/src/core/box-crashes.ts
+++ b/src/core/box-crashes.ts
@@ -1,26 +1,26 @@
 /**
- * What a box concludes from broken attempts: which server crashed, which requests may have been the cause, and
- * which of these are sent to no server any more.
+ * Detects crashes of backend servers from broken attempts, finds the requests that may
+ * have caused them, and quarantines requests that crash servers repeatedly.
  */
 import type {CrashChanges, CrashNews} from "../types/crash-messages.js"
 import type {BackendRecord} from "../types/fleet.js"
 import {giveUp} from "./box-ends.js"
 import {type Attempt, type BoxRequest, type BoxServing, note} from "./box-state.js"
 
-/** Callers of a request that is stopped may come back after this at the earliest, milliseconds. */
-const LEAST_RETRY_MS = 5_000
+/** Shortest time after which callers of a quarantined request may retry. */
+const MIN_RETRY_AFTER_MS = 5_000
 
-/** Where news of crashes comes from. */
+/** The source of crash changes. */
 export type CrashSource =
-  /** The leader's whole list, as a link to it begins. */
+  /** The leader's complete list, sent when a link to it starts. */
   | "leader-all"
   | "leader"
-  /** A box that follows this one. */
+  /** A follower of this box. */
   | "box"
-  /** What an earlier leader stored. */
+  /** The record that an earlier leader stored. */
   | "store"
 
-/** Whether the request is to be sent to no server. */
+/** Whether the request is quarantined and this send is not its trial. */
 export function isStopped(
   box: BoxServing,
   {arrival: {fingerprint}, trial, attempt, attempts}: BoxRequest
@@ -30,7 +30,10 @@
   return box.crashes.isStopped(fingerprint)
 }
 
-/** Ends a request that is stopped, unless it is the one to be tried now; true: it did. */
+/**
+ * Refuses a quarantined request, unless it can be sent as a trial now. Returns whether it
+ * did.
+ */
 export function refuseIfStopped(
   box: BoxServing,
   request: BoxRequest,
@@ -39,20 +42,20 @@
   if (!isStopped(box, request)) return false
   const {fingerprint = ""} = request.arrival
   const waitMs = box.crashes.trialInMs(fingerprint, now)
-  // One box alone tries, and what it begins is told before it is sent.
+  // Only the leader starts trials, and it reports a trial before sending the request.
   if (waitMs === 0 && box.leads && box.crashes.mayTry(now)) {
     box.crashes.noteTrial(fingerprint, now)
     request.trial = true
     note(box, "request-tried", {fingerprint, request: request.arrival.name})
-    tellChanges(box, {records: box.crashes.tell(now, [fingerprint]), cleared: []})
+    reportChanges(box, {records: box.crashes.tell(now, [fingerprint]), cleared: []})
     return false
   }
   const reason = request.runs > 0 ? "unknown" : "crashes-servers"
-  giveUp(box, request, reason, now, Math.max(LEAST_RETRY_MS, waitMs))
+  giveUp(box, request, reason, now, Math.max(MIN_RETRY_AFTER_MS, waitMs))
   return true
 }
 
-/** A server answered the request whole. */
+/** Records that a server answered the request completely. */
 export function noteAnswered(
   box: BoxServing,
   {arrival: {fingerprint}}: BoxRequest,
@@ -65,16 +68,20 @@
 }
 
 /**
- * The connection of an attempt broke, or none came up. Whether the server crashed shows by a new one: its
- * address refuses it. A cut link or a reset of connections does not look so.
+ * Handles a connection that broke or could not be opened. If the server crashed, its
+ * address refuses a new connection, unlike after a cut link or a connection reset; a
+ * probe tells these apart.
  */
 export function suspectCrash(box: BoxServing, backend: string, now: number): void {
-  const record = findUnannounced(box, backend)
+  const record = findIfNotLeaving(box, backend)
   if (!record || !box.crashWatch.endedLately(backend, now)) return
-  if (box.crashWatch.noteBroken(backend, now)) askWhetherUp(box, record)
+  if (box.crashWatch.noteBroken(backend, now)) probe(box, record)
 }
 
-/** What a new connection to the server showed; undefined: it neither came up nor was refused. */
+/**
+ * Handles the result of a probe. Undefined if the connection was neither accepted nor
+ * refused.
+ */
 export function takeProbe(
   box: BoxServing,
   backend: string,
@@ -87,12 +94,12 @@
   box.survivors.noteHeard(backend, now)
 }
 
-/** A server is known to have ended, since it is in its next life. */
+/** Handles the end of a server's incarnation, shown by its next incarnation. */
 export function noteEndedLife(box: BoxServing, backend: string, now: number): void {
-  if (findUnannounced(box, backend)) confirmCrash(box, backend, now)
+  if (findIfNotLeaving(box, backend)) confirmCrash(box, backend, now)
 }
 
-/** Takes what other boxes concluded. */
+/** Applies crash changes from other boxes or the store. */
 export function takeCrashes(
   box: BoxServing,
   {records, cleared}: CrashChanges,
@@ -101,23 +108,23 @@
 ): void {
   if (source === "leader-all") {
     const missing = box.crashes.tellMissing(records, now)
-    if (missing.length > 0) tellChanges(box, {records: missing, cleared: []})
+    if (missing.length > 0) reportChanges(box, {records: missing, cleared: []})
   }
   const survived = records
     .map(({fingerprint}) => fingerprint)
     .filter(fingerprint => box.survivors.has(fingerprint))
-  if (survived.length > 0) tellChanges(box, {records: [], cleared: survived})
+  if (survived.length > 0) reportChanges(box, {records: [], cleared: survived})
   const changed = records
     .filter(({fingerprint}) => !survived.includes(fingerprint))
     .filter(record => mergeRecord(box, record, now))
   const clearedHere = cleared.filter(fingerprint => box.crashes.clear(fingerprint))
-  // Requests that were in progress here as these servers crashed count, too.
-  for (const life of new Set(changed.flatMap(({lives}) => lives))) {
-    confirmCrash(box, life, now)
+  // Requests of this box that were in progress at these servers are suspects, too.
+  for (const incarnation of new Set(changed.flatMap(({lives}) => lives))) {
+    confirmCrash(box, incarnation, now)
   }
-  const isNews = changed.length > 0 || clearedHere.length > 0
-  if (isNews && (source === "box" || source === "store")) {
-    tellChanges(box, {
+  const hasChanged = changed.length > 0 || clearedHere.length > 0
+  if (hasChanged && (source === "box" || source === "store")) {
+    reportChanges(box, {
       records: box.crashes.tell(
         now,
         changed.map(({fingerprint}) => fingerprint)
@@ -127,14 +134,17 @@
   }
 }
 
-/** What time alone brings: servers to look at again, and requests that are known to crash none. */
+/**
+ * Periodic work: probes servers that may have crashed, and clears requests that servers
+ * have outlived.
+ */
 export function tickCrashes(box: BoxServing, now: number): void {
   box.crashes.expire(now)
   const suspects = box.crashes.fingerprints()
-  const looks = suspects.flatMap(each => box.survivors.takeLook(each, now) ?? [])
-  for (const backend of new Set([...looks, ...box.crashWatch.takeLooks(now)])) {
-    const record = findUnannounced(box, backend)
-    if (record) askWhetherUp(box, record)
+  const toProbe = suspects.flatMap(each => box.survivors.takeLook(each, now) ?? [])
+  for (const backend of new Set([...toProbe, ...box.crashWatch.takeLooks(now)])) {
+    const record = findIfNotLeaving(box, backend)
+    if (record) probe(box, record)
   }
   const cleared = suspects.filter(fingerprint => box.survivors.has(fingerprint))
   if (cleared.length === 0) return
@@ -142,10 +152,12 @@
     box.crashes.clear(fingerprint)
     note(box, "request-cleared", {fingerprint})
   }
-  tellChanges(box, {records: [], cleared})
+  reportChanges(box, {records: [], cleared})
 }
 
-/** Ends an attempt of a request that is stopped, unless its answer has begun; true: it did. */
+/**
+ * Fails a quarantined request whose attempt has no answer yet. Returns whether it did.
+ */
 export function endIfStopped(
   box: BoxServing,
   request: BoxRequest,
@@ -153,9 +165,9 @@
   now: number
 ): boolean {
   if (attempt.headed || !isStopped(box, request)) return false
-  const ran = attempt.started || request.runs > 0
+  const mayHaveRun = attempt.started || request.runs > 0
   const waitMs = box.crashes.trialInMs(request.arrival.fingerprint ?? "", now)
-  giveUp(box, request, ran ? "unknown" : "crashes-servers", now, waitMs)
+  giveUp(box, request, mayHaveRun ? "unknown" : "crashes-servers", now, waitMs)
   return true
 }
 
@@ -171,11 +183,11 @@
   const added = suspects.filter(fingerprint => addCrash(box, fingerprint, backend, now))
   if (added.length === 0) return
   note(box, "server-crashed", {backend, suspects: added.length})
-  tellChanges(box, {records: box.crashes.tell(now, added), cleared: []})
+  reportChanges(box, {records: box.crashes.tell(now, added), cleared: []})
 }
 
 function mergeRecord(box: BoxServing, record: CrashNews, now: number): boolean {
-  return noteIfStopped(box, record.fingerprint, () => box.crashes.merge(record, now))
+  return logIfQuarantined(box, record.fingerprint, () => box.crashes.merge(record, now))
 }
 
 function addCrash(
@@ -185,32 +197,35 @@
   now: number
 ): boolean {
   const add = (): boolean => box.crashes.add(fingerprint, backend, now)
-  return noteIfStopped(box, fingerprint, add)
+  return logIfQuarantined(box, fingerprint, add)
 }
 
-function noteIfStopped(
+function logIfQuarantined(
   box: BoxServing,
   fingerprint: string,
   change: () => boolean
 ): boolean {
-  const wasStopped = box.crashes.isStopped(fingerprint)
-  const isNews = change()
-  if (!wasStopped && box.crashes.isStopped(fingerprint)) {
+  const wasQuarantined = box.crashes.isStopped(fingerprint)
+  const hasChanged = change()
+  if (!wasQuarantined && box.crashes.isStopped(fingerprint)) {
     note(box, "request-stopped", {fingerprint})
   }
-  return isNews
+  return hasChanged
 }
 
-function tellChanges(box: BoxServing, changes: CrashChanges): void {
+function reportChanges(box: BoxServing, changes: CrashChanges): void {
   box.effects.push({type: "crashes", changes})
 }
 
-function askWhetherUp(box: BoxServing, backend: BackendRecord): void {
+function probe(box: BoxServing, backend: BackendRecord): void {
   box.effects.push({type: "probe", backend})
 }
 
-/** The server, if it is listed and has not said that it leaves: a planned end is no crash. */
-function findUnannounced(box: BoxServing, id: string): BackendRecord | undefined {
+/**
+ * Returns the server if it is listed and has not announced that it leaves: a planned stop
+ * is no crash.
+ */
+function findIfNotLeaving(box: BoxServing, id: string): BackendRecord | undefined {
   const record = box.backends.known.get(id)?.record
   return record?.leaving === false ? record : undefined
 }
--- a/src/core/box-lives.ts
+++ b/src/core/box-lives.ts
@@ -1,33 +1,37 @@
-/** What becomes of a box's beliefs and requests when a backend server is known to have started again. */
+/**
+ * Handles the end of a backend server's incarnation, seen when the server has started
+ * again.
+ */
 import {abortAttempt} from "./box-ends.js"
 import {attemptFailed} from "./box-attempts.js"
 import type {Attempt, BoxRequest, BoxServing} from "./box-state.js"
 
 /**
- * What a server sent before it ended may still be on its way when its next life is heard of: an
- * answer that is whole by then counts. A link's delay is some milliseconds; the rest is for boxes
- * that stood still.
+ * Bytes that a server sent before it ended may still be in transit when its next
+ * incarnation is reported; an answer that is complete by then counts. A link delays them
+ * by some milliseconds; the rest allows for process pauses of boxes.
  */
 export const LAST_BYTES_MS = 300
 
-/** Ended lives that are remembered: no request outlasts so many. */
-const MAX_ENDED = 1_000
+/** Ended incarnations that are remembered; no request lasts while this many end. */
+const MAX_ENDED_INCARNATIONS = 1_000
 
-/** Drops what was believed of a life that is over; its requests end once no more can come of it. */
+/** Removes the state of an ended incarnation. Its attempts end after `LAST_BYTES_MS`. */
 export function endLife(box: BoxServing, id: string, now: number): void {
-  for (const beliefs of [box.engines, box.held, box.suspects, box.rests])
-    beliefs.delete(id)
+  for (const byServer of [box.engines, box.held, box.suspects, box.rests])
+    byServer.delete(id)
   box.rates.forget(id)
   box.allowances.forget(id)
   box.endedLives.set(id, now + LAST_BYTES_MS)
   const [oldest] = box.endedLives.keys()
-  if (oldest !== undefined && box.endedLives.size > MAX_ENDED)
+  if (oldest !== undefined && box.endedLives.size > MAX_ENDED_INCARNATIONS)
     box.endedLives.delete(oldest)
 }
 
 /**
- * Ends an attempt that runs at a server whose life is over; true: it did. No reset comes over a link
- * that is cut, and a caller would wait until its time is over. It may have run.
+ * Ends an attempt at a server whose incarnation has ended, as one that may have run.
+ * Returns whether it did. Over a cut link no connection reset arrives, and the caller
+ * would otherwise wait until its deadline.
  */
 export function endIfOver(
   box: BoxServing,
