--- a/src/core/box-news.ts
+++ b/src/core/box-news.ts
@@ -1,58 +1,73 @@
-/** How old the news is that a box sends requests by. */
+/**
+ * The age of the snapshot of the store (the key-value service) by which a box routes
+ * requests.
+ */
 import type {BoxServing} from "./box-state.js"
 import {STALE_MS} from "./news-age.js"
 import {type KnownEra, lacksNews} from "./eras.js"
 
 /**
- * At that time the news was as new as it can be had; `read`: since the store was read then, and not
- * since nobody could.
+ * Records that the snapshot was as recent as can be had at that time. `read` is false if
+ * that is so because nobody could read the key-value service.
  */
 export function noteNews(box: BoxServing, at: number, read = true): void {
   box.newsAt = Math.max(box.newsAt ?? -Infinity, at)
   if (read) box.readAt = Math.max(box.readAt ?? -Infinity, at)
 }
 
-/** The store was read then for the configuration that is in force here, or before. */
+/**
+ * Records that the configuration in force here was read from the store at that time or
+ * earlier.
+ */
 export function noteConfigRead(box: BoxServing, at: number): void {
   box.configReadAt = Math.max(box.configReadAt ?? -Infinity, at)
 }
 
 /**
- * Since the store was read for the configuration in force here, milliseconds; Infinity: it never was. What
- * an older copy of the store lacks may have been acknowledged before it came back: such readings do not count.
+ * Returns the time since the configuration in force here was read from the store;
+ * Infinity if it never was. Shortly after a restore from an older backup, acknowledged
+ * changes may still be missing from the store, so reads since the restore do not count.
  */
 export function configAgeMs(box: BoxServing, now: number): number {
-  const copied = lacksNews(box.era, now)
-  return now - ((copied ? box.configReadBeforeEra : box.configReadAt) ?? -Infinity)
+  const isJustRestored = lacksNews(box.era, now)
+  return (
+    now - ((isJustRestored ? box.configReadBeforeEra : box.configReadAt) ?? -Infinity)
+  )
 }
 
-/** Whether the box knows the newest configuration of late: what that has not is not there. */
+/**
+ * Whether the configuration was read recently enough that what it lacks does not exist.
+ */
 export function isConfigCurrent(box: BoxServing, now: number): boolean {
   return configAgeMs(box, now) <= STALE_MS
 }
 
 /**
- * The era of the store, as it is known from now on. As it rises, the box keeps what it knew: what the store
- * lacks from then on may have been acknowledged since it was read last.
+ * Records the era of the store. When the era goes up, the box keeps its state: what the
+ * restored store lacks may have been acknowledged since the last store read.
  */
-export function noteEra(box: BoxServing, known: KnownEra, rose: boolean): void {
-  const readAt = readWithoutAt(box, known.by)
-  const configReadAt = known.by - configAgeMs(box, known.by)
-  box.era = known
-  if (!rose) return
-  // A box that had read only the copy knows of no reading before.
-  box.readBeforeEra = readAt !== undefined && readAt < known.by ? readAt : undefined
-  box.configReadBeforeEra = configReadAt < known.by ? configReadAt : undefined
+export function noteEra(box: BoxServing, era: KnownEra, wentUp: boolean): void {
+  const readAt = readWithoutAt(box, era.by)
+  const configReadAt = era.by - configAgeMs(box, era.by)
+  box.era = era
+  if (!wentUp) return
+  // A box that has only read the restored backup has no store read from before it.
+  box.readBeforeEra = readAt !== undefined && readAt < era.by ? readAt : undefined
+  box.configReadBeforeEra = configReadAt < era.by ? configReadAt : undefined
 }
 
-/** When the store was read last without what is told now; undefined: nobody knows of such a reading. */
+/**
+ * Returns when the store was last read without the update that arrives now, or undefined
+ * if no such read is known.
+ */
 export function readWithoutAt(box: BoxServing, now: number): number | undefined {
   return lacksNews(box.era, now) ? box.readBeforeEra : box.readAt
 }
 
 /**
- * Whether the box knows what the store held of late. News that nobody could read lets requests go on to what
- * is known; that something is not there can't be told by it.
+ * Whether the store was read recently enough that what the snapshot lacks does not exist.
+ * If nobody can read the store, requests still use the snapshot, but it cannot prove an
+ * absence.
  */
 export function isCurrent({readAt, era}: BoxServing, now: number): boolean {
   if (lacksNews(era, now)) return false
@@ -60,8 +75,9 @@
 }
 
 /**
- * Whether requests have to wait for newer news. A process that stood still takes what came meanwhile in
- * the turn in which it goes on, and would send it to servers that left long before.
+ * Whether requests must wait for a newer snapshot. After a process pause, the requests
+ * that arrived meanwhile are handled first and would be sent to servers that left long
+ * ago.
  */
 export function isStale({newsAt}: BoxServing, now: number): boolean {
   return newsAt !== undefined && now - newsAt > STALE_MS
--- a/src/core/box.ts
+++ b/src/core/box.ts
@@ -1,6 +1,6 @@
 /**
- * The one entry to all decisions of a box: its entry and its keeper side by side. The processes
- * run one role each; a bench may hold many whole boxes in one process.
+ * The state machine of a whole box, combining its entry and its keeper. Each production
+ * process runs one of these roles; a benchmark may run many whole boxes in one process.
  */
 import {createEntry, stepEntry} from "./entry.js"
 import type {EntryEffect, EntryEvent, EntryOptions, EntryState} from "./entry-state.js"
@@ -40,17 +40,17 @@
   return {entry: createEntry(options.seed), keeper: createKeeper(options.keeper)}
 }
 
-/** One transition; `now` is monotonic milliseconds, simulated or real. */
+/** Applies one event; `now` is monotonic milliseconds, simulated or real. */
 export function stepBox(
   state: BoxState,
-  given: BoxEvent,
+  boxEvent: BoxEvent,
   now: number,
   options: BoxOptions
 ): BoxStep {
-  if (given.role === "entry") {
+  if (boxEvent.role === "entry") {
     const {state: entry, effects} = stepEntry(
       state.entry,
-      given.event,
+      boxEvent.event,
       now,
       options.entry
     )
@@ -61,7 +61,7 @@
   }
   const {state: keeper, effects} = stepKeeper(
     state.keeper,
-    given.event,
+    boxEvent.event,
     now,
     options.keeper
   )
