--- a/src/core/request-ranks.ts
+++ b/src/core/request-ranks.ts
@@ -1,15 +1,23 @@
-/** The rank of a request at engines: its organisation's before its route's. */
+/**
+ * Ranks requests at engines, by the priority of the organisation first and of the route
+ * second.
+ */
 import type {FleetConfig} from "../types/fleet.js"
 
-/** Engines know ranks from 0, the most urgent, to this. */
+/** Engines accept ranks from 0, the most urgent, to this. */
 export const LOWEST_RANK = 9
 
-/** The rank of a request of an organisation, or of none, on a route of this rank. */
+/**
+ * Returns a request's rank from the priorities of its organisation, if any, and its
+ * route.
+ */
 export type RankOf = (organisation: number | undefined, route: number) => number
 
 /**
- * Ranks the pairs of both that a configuration has. Without organisations the route's rank stands as it
- * is. An organisation that tells no rank, and a request of none, come last.
+ * Creates the rank function of a configuration. It orders the pairs of organisation and
+ * route priorities and scales them to the ranks of engines. Without organisations the
+ * rank is the route's priority. Organisations without a priority and requests without an
+ * organisation come last.
  */
 export function rankRequests({organisations, routes}: FleetConfig): RankOf {
   if (organisations.length === 0) return (_, route) => route
@@ -19,11 +27,11 @@
   )
   const count = ofOrganisations.length * ofRoutes.length
   return (organisation, route) => {
-    const above = placeOf(ofOrganisations, organisation ?? Infinity)
-    const place = above * ofRoutes.length + placeOf(ofRoutes, route)
+    const organisationIndex = rankIndexOf(ofOrganisations, organisation ?? Infinity)
+    const index = organisationIndex * ofRoutes.length + rankIndexOf(ofRoutes, route)
     return count <= LOWEST_RANK + 1
-      ? place
-      : Math.floor((place * (LOWEST_RANK + 1)) / count)
+      ? index
+      : Math.floor((index * (LOWEST_RANK + 1)) / count)
   }
 }
 
@@ -31,7 +39,7 @@
   return [...new Set(ranks)].sort((a, b) => a - b)
 }
 
-function placeOf(sorted: readonly number[], rank: number): number {
-  const place = sorted.findIndex(each => each >= rank)
-  return place < 0 ? sorted.length - 1 : place
+function rankIndexOf(sorted: readonly number[], rank: number): number {
+  const index = sorted.findIndex(each => each >= rank)
+  return index < 0 ? sorted.length - 1 : index
 }
--- a/src/core/route-table.ts
+++ b/src/core/route-table.ts
@@ -1,29 +1,28 @@
-/** Which route a request takes, and which service of the route. */
+/** Finds the route and the service of a request, and the holder of its key. */
 import type {FleetConfig, FleetService, Route} from "../types/fleet.js"
 import type {RoutedOrganisation, UsageLimit} from "../types/organisations.js"
 import {equalHash} from "../utils/hash.js"
 import {type RankOf, rankRequests} from "./request-ranks.js"
 
-/** A key with who holds it. */
+/** A key digest with the organisation that holds the key. */
 export interface KeyHolder {
   readonly digest: string
   readonly organisation: RoutedOrganisation
 }
 
-/** The routes and services of one configuration, prepared for look-ups. */
+/** Look-up tables for the routes, services and keys of one configuration. */
 export interface RouteTable {
   readonly config: FleetConfig
-  /** Routes of a host, longest prefix first. */
+  /** Routes of each host, longest path prefix first. */
   readonly byHost: ReadonlyMap<string, readonly Route[]>
   readonly services: ReadonlyMap<string, FleetService>
-  /** Who holds which keys, by the beginnings of their digests. */
+  /** Key holders, by the first `DIGEST_PREFIX_LENGTH` characters of the digest. */
   readonly holders: ReadonlyMap<string, readonly KeyHolder[]>
-  /** Limits of organisations that have one, by their names. */
+  /** Usage limits by organisation, for those that have one. */
   readonly limited: ReadonlyMap<string, UsageLimit>
   readonly rankOf: RankOf
 }
 
-/** Prepares a configuration. */
 export function buildRouteTable(config: FleetConfig): RouteTable {
   const byHost = new Map<string, Route[]>()
   for (const route of config.routes) {
@@ -47,61 +46,63 @@
   )
 }
 
-/** Of a digest, what finds those to compare it with. */
-const KEY_BEGINNING = 8
+/** Characters of a digest that select the candidates for the constant-time comparison. */
+const DIGEST_PREFIX_LENGTH = 8
 
-/** The organisation that holds the key of this digest, compared in constant time. */
+/**
+ * Returns the organisation that holds the key of this digest, compared in constant time.
+ */
 export function findHolder(
   {holders}: RouteTable,
   digest: string
 ): RoutedOrganisation | undefined {
-  const alike = holders.get(digest.slice(0, KEY_BEGINNING)) ?? []
-  return alike.find(each => equalHash(each.digest, digest))?.organisation
+  const candidates = holders.get(digest.slice(0, DIGEST_PREFIX_LENGTH)) ?? []
+  return candidates.find(each => equalHash(each.digest, digest))?.organisation
 }
 
 function indexKeys({organisations}: FleetConfig): Map<string, KeyHolder[]> {
   const holders = new Map<string, KeyHolder[]>()
   for (const organisation of organisations) {
     for (const digest of organisation.keys) {
-      const beginning = digest.slice(0, KEY_BEGINNING)
-      const alike = holders.get(beginning) ?? []
-      holders.set(beginning, [...alike, {digest, organisation}])
+      const digestPrefix = digest.slice(0, DIGEST_PREFIX_LENGTH)
+      const sameBucket = holders.get(digestPrefix) ?? []
+      holders.set(digestPrefix, [...sameBucket, {digest, organisation}])
     }
   }
   return holders
 }
 
-/** The route with the longest prefix that begins the path; the query does not count. */
+/** Returns the route with the longest path prefix that matches; the query is ignored. */
 export function findRoute(
   table: RouteTable,
   host: string,
   path: string
 ): Route | undefined {
   const query = path.indexOf("?")
-  const bare = query < 0 ? path : path.slice(0, query)
+  const pathWithoutQuery = query < 0 ? path : path.slice(0, query)
   return table.byHost
-    .get(bareHost(host))
-    ?.find(route => bare.startsWith(route.pathPrefix))
+    .get(stripPort(host))
+    ?.find(route => pathWithoutQuery.startsWith(route.pathPrefix))
 }
 
-/** A service of the route by weight; `draw` is in [0, 1). */
+/** Chooses a service of the route by weight; `draw` is a random number in [0, 1). */
 export function drawService(route: Route, draw: number): string | undefined {
   let total = 0
   for (const {weight} of route.services) total += weight
-  let left = draw * total
+  let remaining = draw * total
   for (const {service, weight} of route.services) {
-    left -= weight
-    if (left < 0) return service
+    remaining -= weight
+    if (remaining < 0) return service
   }
   return route.services.at(-1)?.service
 }
 
-/** Whether a request of the route may run more than once. */
+/** Whether requests of the route may run more than once. */
 export function isRepeatable(route: Route): boolean {
   return route.kind === "safe" || (route.kind === "streaming" && route.resumable)
 }
 
-function bareHost(host: string): string {
+function stripPort(host: string): string {
   const colon = host.indexOf(":")
   return (colon < 0 ? host : host.slice(0, colon)).toLowerCase()
 }
