--- a/src/core/adapter-versions.ts
+++ b/src/core/adapter-versions.ts
@@ -1,77 +1,82 @@
-/** Versions of an adapter that were named, and which one may still be used. */
+/** Announced versions of an adapter, and until when older versions may be used. */
 
-/** A version that was named. */
 export interface NamedVersion {
   readonly version: number
   /**
-   * It was named after this, by the clock of the box, milliseconds: the store was read then, and did not
-   * have it. -Infinity: the box knows of no reading without it.
+   * Time on the box's clock of a store read that did not yet have the version, so that it
+   * was announced later. -Infinity if the box knows of no such read.
    */
   readonly namedAfter: number
 }
 
 /**
- * Versions of one adapter in the order in which they were named, each higher than the last. Only the
- * newest of those that have replaced all before them is kept, and what was named since.
+ * Versions of one adapter in ascending order. Kept are the newest version that has fully
+ * replaced its predecessors, and those announced since.
  */
 export type AdapterVersions = readonly NamedVersion[]
 
 /**
- * Operators allow five seconds from the store's acknowledgement of a newer version until no request begins
- * on an older one. All times here count from before that acknowledgement, so that nothing that a box
- * hears late makes them longer; they divide the five seconds, milliseconds.
+ * How long requests are sent to a replaced version while the new one is loaded.
  *
- * Until then requests are sent to an older version, while the newer one is loaded. What is left is for the
- * queues of engines: some begin what waits there though its sender has left, and callers wait up to four
- * seconds. A second more to send in bought nothing measurable (three days of versions, three seeds) and
- * had twice as many requests taken back.
+ * Operators allow 5 s from the store's acknowledgement of a newer version until no
+ * request starts on an older one. Both limits below count from a time before that
+ * acknowledgement, so that late updates do not extend them. The time left after this
+ * limit is for the queues of engines: some engines start waiting requests although the
+ * sender has disconnected, and callers wait up to 4 s. One second more doubled the
+ * aborted requests without a measurable gain (three days of version changes, three
+ * seeds).
  */
-const SEND_MS = 1_500
+const SEND_LIMIT_MS = 1_500
 
 /**
- * Until then what was sent may wait at an engine, 2.7 s at least; the rest is for a box's clock (100 ms), a
- * standstill that counts as none (400 ms) and the engine, most of which drop what their caller left.
+ * How long requests may still start on a replaced version. This leaves at least 2.7 s in
+ * an engine's queue. The rest of the 5 s is for the box's clock (100 ms), an unnoticed
+ * process pause (400 ms) and the engine; most engines drop requests whose caller has
+ * disconnected.
  */
-const BEGIN_MS = 4_200
+const START_LIMIT_MS = 4_200
 
-/** Adds a version; a lower one than the newest is old news. */
+/** Adds a version; ignored unless higher than the newest. */
 export function nameVersion(
-  named: AdapterVersions,
+  known: AdapterVersions,
   version: number,
   namedAfter: number,
   now: number
 ): AdapterVersions {
-  if (version <= newestOf(named)) return named
-  const all = [...named, {version, namedAfter}]
-  const replaced = all.filter(each => now - each.namedAfter > BEGIN_MS).length
-  return all.slice(Math.max(0, replaced - 1))
+  if (version <= newestOf(known)) return known
+  const all: AdapterVersions = [...known, {version, namedAfter}]
+  const replacedCount = all.filter(each => now - each.namedAfter > START_LIMIT_MS).length
+  return all.slice(Math.max(0, replacedCount - 1))
 }
 
-/** The newest version; 0: none was named. */
-export function newestOf(named: AdapterVersions): number {
-  return named.at(-1)?.version ?? 0
+/** Returns the newest version, or 0 if none was announced. */
+export function newestOf(known: AdapterVersions): number {
+  return known.at(-1)?.version ?? 0
 }
 
-/** How long ago at most a newer version was named, milliseconds; 0: this one is the newest. */
+/**
+ * Returns for how long at most the version has been replaced; 0 means that it is the
+ * newest.
+ */
 export function replacedForMs(
-  named: AdapterVersions,
+  known: AdapterVersions,
   version: number,
   now: number
 ): number {
-  const next = named.find(each => each.version > version)
+  const next = known.find(each => each.version > version)
   return next ? now - next.namedAfter : 0
 }
 
-/** Whether no request may be sent to this version any more. */
+/** Whether the version was replaced so long ago that no request may be sent to it. */
 export function isOutdated(
-  named: AdapterVersions,
+  known: AdapterVersions,
   version: number,
   now: number
 ): boolean {
-  return replacedForMs(named, version, now) > SEND_MS
+  return replacedForMs(known, version, now) > SEND_LIMIT_MS
 }
 
-/** Whether no request may begin on this version any more. */
-export function isOver(named: AdapterVersions, version: number, now: number): boolean {
-  return replacedForMs(named, version, now) > BEGIN_MS
+/** Whether the version was replaced so long ago that no request may start on it. */
+export function isOver(known: AdapterVersions, version: number, now: number): boolean {
+  return replacedForMs(known, version, now) > START_LIMIT_MS
 }
--- a/src/core/suspensions.ts
+++ b/src/core/suspensions.ts
@@ -1,12 +1,16 @@
 /**
- * What a step of the clock must not do. The clock counts each step of the time of day as a suspension, so that
- * no belief looks newer than it is. Where less time is the safe side it does not count: requests in progress
- * must not run out of time by a step, no budget over a window may refill, and a server's rest must not end.
+ * Compensates for clock steps. The clock counts each step of the time of day as a
+ * suspension, so that no observation looks newer than it is. Where the shorter time is
+ * the safe choice, suspensions are left out: a step must not expire requests in progress,
+ * refill window-based budgets, or end a server's back-off.
  */
 import type {BoxRequest, BoxServing} from "./box-state.js"
 import type {RoutedState} from "./serving-fleet.js"
 
-/** The clock has counted so much for suspensions in all, milliseconds. */
+/**
+ * Applies the clock's total of suspensions so far: postpones times by the part that is
+ * new.
+ */
 export function noteSuspended(
   {serving: box, fleet}: RoutedState,
   suspendedMs: number
@@ -19,7 +23,7 @@
   for (const [backend, until] of box.rests) box.rests.set(backend, until + stepMs)
 }
 
-/** The time without suspensions, for budgets over windows. */
+/** Returns the time without suspensions, for budgets over windows. */
 export function runningMs({suspendedMs}: BoxServing, now: number): number {
   return now - suspendedMs
 }
