--- a/test/box-requests.test.ts
+++ b/test/box-requests.test.ts
@@ -1,4 +1,7 @@
-/** A box's requests: what is sent again, what is never, and what an ended one was told. */
+/**
+ * Requests of a box: which are retried, which are not, and what callers receive at their
+ * end.
+ */
 import t from "tap"
 import {attemptHead, attemptHeard} from "../src/core/box-attempts.js"
 import {hangUp, stopServing} from "../src/core/box-requests.js"
@@ -11,7 +14,7 @@
 import type {Route} from "../src/types/fleet.js"
 import {engines, record, ROUTE, STREAM, Subject, WEIGHTS} from "./support/box-subject.js"
 
-t.test("what was never sent, or refused unrun, ends as not run", async t => {
+t.test("a request that was not sent, or was refused unrun, ends as not run", async t => {
   t.same(new Subject(0).arrive(ROUTE).fail("not-sent").told(), ["abort", "end not-run"])
   t.same(new Subject(0).arrive(ROUTE).start().fail("refused").told(), [
     "abort",
@@ -19,47 +22,53 @@
   ])
 })
 
-t.test("what may have run and may not run twice ends as unknown", async t => {
-  const unsafe: Route = {...ROUTE, kind: "unsafe", maxAttempts: 3}
-  t.same(new Subject().arrive(unsafe).start().fail("broken").told(), [
-    "abort",
-    "end unknown"
-  ])
-  const once: Route = {...STREAM, resumable: false}
-  t.same(new Subject().arrive(once).start().fail("broken").told(), [
-    "abort",
-    "end unknown"
-  ])
-})
+t.test(
+  "a non-repeatable request that may have run ends with an unknown outcome",
+  async t => {
+    const unsafe: Route = {...ROUTE, kind: "unsafe", maxAttempts: 3}
+    t.same(new Subject().arrive(unsafe).start().fail("broken").told(), [
+      "abort",
+      "end unknown"
+    ])
+    const once: Route = {...STREAM, resumable: false}
+    t.same(new Subject().arrive(once).start().fail("broken").told(), [
+      "abort",
+      "end unknown"
+    ])
+  }
+)
 
-t.test("what may not run twice goes on after a refusal", async t => {
+t.test("a non-repeatable request is sent again after a refusal", async t => {
   const unsafe: Route = {...ROUTE, kind: "unsafe", maxAttempts: 1}
   t.same(new Subject().arrive(unsafe).start().fail("refused").told(), ["send 2"])
 })
 
-t.test("a refusal after a lost run does not make it unrun", async t => {
-  const subject = new Subject(2)
-    .arrive({...ROUTE, maxAttempts: 5})
-    .start()
-    .fail("broken")
-  t.same(subject.told(), ["send 2"])
-  t.same(subject.start(2).fail("refused", 2).told(), ["abort", "end unknown"])
-})
+t.test(
+  "a refusal after an attempt that may have run does not end as not run",
+  async t => {
+    const subject = new Subject(2)
+      .arrive({...ROUTE, maxAttempts: 5})
+      .start()
+      .fail("broken")
+    t.same(subject.told(), ["send 2"])
+    t.same(subject.start(2).fail("refused", 2).told(), ["abort", "end unknown"])
+  }
+)
 
-t.test("no more servers run a request than its route allows", async t => {
+t.test("a request gets no more attempts than its route allows", async t => {
   const subject = new Subject().arrive(ROUTE).start().fail("broken")
   t.same(subject.told(), ["send 2"])
   t.same(subject.start(2).fail("broken", 2).told(), ["abort", "end unknown"])
 })
 
-t.test("without a budget nothing is sent twice", async t => {
+t.test("without a retry budget no request is retried", async t => {
   t.same(new Subject(0).arrive(ROUTE).start().fail("broken").told(), [
     "abort",
     "end unknown"
   ])
 })
 
-t.test("the time of the route or of the caller ends a request at once", async t => {
+t.test("a request ends at the time limit of its route or its caller", async t => {
   const slow: Route = {...ROUTE, kind: "unsafe"}
   const short: Route = {...slow, timeoutMs: 700}
   t.same(new Subject().arrive(short).start().pass(699).told(), [])
@@ -70,7 +79,7 @@
   ])
 })
 
-t.test("a stream that breaks goes on after its last event elsewhere", async t => {
+t.test("a broken stream is resumed after its last event on another server", async t => {
   const subject = new Subject()
   takePicture(subject.box, engines(), subject.now)
   subject.arrive(STREAM, {weights: WEIGHTS}).start()
@@ -85,11 +94,11 @@
   t.same(
     subject.start(2).fail("broken", 2, "14").told(),
     ["abort", "cut"],
-    "it must not look whole"
+    "a partial answer must not look complete"
   )
 })
 
-t.test("an answer of another kind is no part of a stream that had begun", async t => {
+t.test("an answer that is not streamed does not continue a stream", async t => {
   const begun = (maxAttempts: number): Subject => {
     const subject = new Subject()
     takePicture(subject.box, engines(), subject.now)
@@ -106,14 +115,14 @@
   t.same(other.drain().told(), ["discard", "need"], "a third attempt follows")
 })
 
-t.test("a caller that leaves ends the run at once", async t => {
+t.test("a request is aborted when its caller disconnects", async t => {
   const subject = new Subject().arrive(ROUTE).start()
   hangUp(subject.box, "q", subject.now)
   t.same(subject.drain().told(), ["abort"])
   t.equal(subject.box.requests.size, 0)
 })
 
-t.test("a box that stops soon refuses what waits", async t => {
+t.test("a stopping box refuses waiting requests within 500 ms", async t => {
   const subject = new Subject().arrive(STREAM, {weights: WEIGHTS})
   t.same(subject.told(), ["need"])
   stopServing(subject.box, subject.now)
@@ -121,19 +130,22 @@
   t.same(subject.pass(1).told(), ["end not-run"])
 })
 
-// Such requests were cut, unanswered, when their box had to be gone.
-t.test("a box that stops keeps new requests waiting no longer than it can", async t => {
-  const subject = new Subject()
-  stopServing(subject.box, subject.now)
-  t.same(subject.arrive(STREAM, {weights: WEIGHTS}).told(), ["need"])
-  t.same(subject.pass(499).told(), [])
-  t.same(subject.pass(1).told(), ["end not-run"])
-  subject.now += 2_001
-  const late = subject.arrive(ROUTE, {id: "late"})
-  t.same(late.told(), ["end not-run"], "not even a send: it might outlast the box")
-})
+// Guards against requests that are cut without an answer when their box exits.
+t.test(
+  "a stopping box holds new requests for 500 ms at most and later refuses them",
+  async t => {
+    const subject = new Subject()
+    stopServing(subject.box, subject.now)
+    t.same(subject.arrive(STREAM, {weights: WEIGHTS}).told(), ["need"])
+    t.same(subject.pass(499).told(), [])
+    t.same(subject.pass(1).told(), ["end not-run"])
+    subject.now += 2_001
+    const late = subject.arrive(ROUTE, {id: "late"})
+    t.same(late.told(), ["end not-run"], "not sent, since it might outlast the box")
+  }
+)
 
-t.test("a server that leaves gets no request, the only one neither", async t => {
+t.test("a leaving server gets no request, even if it is the only one", async t => {
   const subject = new Subject()
   const leave = (ids: readonly string[]): void => {
     const records = ["one", "two"].map(id => ({...record(id), leaving: ids.includes(id)}))
@@ -152,24 +164,27 @@
   t.same(subject.arrive(ROUTE, {id: "later"}).told(), [])
 })
 
-t.test("an older version serves for a moment after a newer one was named", async t => {
-  const subject = new Subject()
-  takePicture(subject.box, engines(), subject.now)
-  noteNews(subject.box, subject.now)
-  takeVersions(subject.box, [["m/x", 2]], subject.now)
-  subject.now += 1_000
-  t.same(subject.arrive(STREAM, {weights: WEIGHTS}).told(), ["send 1"])
-  const later = new Subject()
-  takePicture(later.box, engines(), later.now)
-  noteNews(later.box, later.now)
-  takeVersions(later.box, [["m/x", 2]], later.now)
-  later.now += 3_000
-  noteNews(later.box, later.now)
-  t.same(later.arrive(STREAM, {weights: WEIGHTS}).told(), ["need"])
-})
+t.test(
+  "a replaced version is still used shortly after the announcement of a newer one",
+  async t => {
+    const subject = new Subject()
+    takePicture(subject.box, engines(), subject.now)
+    noteNews(subject.box, subject.now)
+    takeVersions(subject.box, [["m/x", 2]], subject.now)
+    subject.now += 1_000
+    t.same(subject.arrive(STREAM, {weights: WEIGHTS}).told(), ["send 1"])
+    const later = new Subject()
+    takePicture(later.box, engines(), later.now)
+    noteNews(later.box, later.now)
+    takeVersions(later.box, [["m/x", 2]], later.now)
+    later.now += 3_000
+    noteNews(later.box, later.now)
+    t.same(later.arrive(STREAM, {weights: WEIGHTS}).told(), ["need"])
+  }
+)
 
 t.test(
-  "each version is judged from when it was named, also where others follow",
+  "a version's age counts from its announcement, even if newer versions follow",
   async t => {
     const subject = new Subject()
     takePicture(subject.box, engines(), subject.now)
@@ -190,7 +205,7 @@
   }
 )
 
-t.test("a change adds and takes away places, and leaves the others", async t => {
+t.test("a delta adds and removes slots and keeps the others", async t => {
   const subject = new Subject()
   takePicture(subject.box, engines().slice(0, 1), subject.now)
   const coming = {adapter: "m/y", version: 1, readyInMs: 0}
@@ -203,14 +218,14 @@
   t.same(subject.arrive(STREAM, {id: "q3", weights: other}).told(), ["send 1"])
 })
 
-t.test("places outlast a long silence of the leader", async t => {
+t.test("slots remain usable during a long silence of the leader", async t => {
   const subject = new Subject()
   takePicture(subject.box, engines(), subject.now)
   subject.now += 60_000
   t.same(subject.arrive(STREAM, {weights: WEIGHTS}).told(), ["send 1"])
 })
 
-t.test("loads are told by the order of engines, which is told once", async t => {
+t.test("load reports refer to engines by an order that is sent once", async t => {
   const subject = new Subject()
   takePicture(subject.box, engines(), subject.now)
   takeLoads(subject.box, {order: ["one", "two"], hundreds: [90, 0]})
@@ -224,7 +239,9 @@
   t.equal(backendOf("q2"), "one")
 })
 
-/** The engine to which a box sends a request with a beginning that all boxes have sent before. */
+/**
+ * Returns the engine chosen for a request whose shared prefix all boxes have sent before.
+ */
 function sentTo(prefix: string, load: readonly number[] = [0, 0, 0, 0]): string {
   const subject = new Subject()
   const names = ["one", "two", "three", "four"]
@@ -247,35 +264,45 @@
   return sent?.type === "send" ? sent.backend.id : ""
 }
 
-t.test("prompts that begin alike go to one engine, from whatever box", async t => {
-  const prefixes = Array.from({length: 40}, (_, i) => `p${i}`)
-  for (const prefix of prefixes) t.equal(sentTo(prefix), sentTo(prefix))
-  const used = new Set(prefixes.map(prefix => sentTo(prefix)))
-  t.equal(used.size, 4, "other beginnings go elsewhere")
-})
+t.test(
+  "prompts with the same shared prefix go to the same engine from every box",
+  async t => {
+    const prefixes = Array.from({length: 40}, (_, i) => `p${i}`)
+    for (const prefix of prefixes) t.equal(sentTo(prefix), sentTo(prefix))
+    const used = new Set(prefixes.map(prefix => sentTo(prefix)))
+    t.equal(used.size, 4, "other prefixes go to other engines")
+  }
+)
 
-t.test("a beginning is read again where that is sooner than to wait", async t => {
-  const home = sentTo("p")
-  const busyBy = (hundreds: number): number[] =>
-    ["one", "two", "three", "four"].map(name => (name === home ? hundreds : 0))
-  t.equal(sentTo("p", busyBy(40)), home)
-  t.not(sentTo("p", busyBy(60)), home)
-})
+t.test(
+  "a prefix is prefilled on another engine if that is faster than waiting",
+  async t => {
+    const home = sentTo("p")
+    const busyBy = (hundreds: number): number[] =>
+      ["one", "two", "three", "four"].map(name => (name === home ? hundreds : 0))
+    t.equal(sentTo("p", busyBy(40)), home)
+    t.not(sentTo("p", busyBy(60)), home)
+  }
+)
 
-t.test("a beginning counts as read by how many were sent before", async t => {
-  const memory = new PrefixMemory()
-  t.equal(memory.keptShare("r", "x", 10, 0), 0, "never sent")
-  memory.note("r", "x", "p1", 0)
-  t.ok(memory.keptShare("r", "x", 10, 0) > 0.99, "the only beginning there is")
-  for (let i = 0; i < 40; i++) memory.note("r", "other", `p${i}`, 0)
-  const share = memory.keptShare("r", "x", 10, 0)
-  t.ok(share > 0.1 && share < 0.4, "ten requests on forty beginnings")
-  t.ok(memory.keptShare("r", "x", 10, 60_000) < 0.01, "long ago")
-  t.equal(memory.keptShare("r", "new", 10, 0), 0)
-})
+t.test(
+  "the cached share of a prefix depends on the number of earlier requests",
+  async t => {
+    const memory = new PrefixMemory()
+    t.equal(memory.keptShare("r", "x", 10, 0), 0, "no earlier request")
+    memory.note("r", "x", "p1", 0)
+    t.ok(memory.keptShare("r", "x", 10, 0) > 0.99, "the only prefix")
+    for (let i = 0; i < 40; i++) memory.note("r", "other", `p${i}`, 0)
+    const share = memory.keptShare("r", "x", 10, 0)
+    t.ok(share > 0.1 && share < 0.4, "ten requests and forty prefixes")
+    t.ok(memory.keptShare("r", "x", 10, 60_000) < 0.01, "requests long ago")
+    t.equal(memory.keptShare("r", "new", 10, 0), 0)
+  }
+)
 
-// Seen on inc-122f: a send some ms too early made the leader load the adapter elsewhere, too.
-t.test("an engine whose weights are late has not failed the request", async t => {
+// Guards against needless loads (inc-122f): a send some ms too early must not make the
+// leader load the adapter on another engine, too.
+t.test("an engine with late weights is not listed as failed", async t => {
   const subject = new Subject()
   const [first] = engines()
   if (!first) return
@@ -288,7 +315,7 @@
   t.same(need?.type === "need" && need.need.failedAt, [])
 })
 
-t.test("an engine that lost its weights has failed it", async t => {
+t.test("an engine that lost its weights is listed as failed", async t => {
   const subject = new Subject()
   takePicture(subject.box, engines().slice(0, 1), subject.now)
   subject.arrive(STREAM, {weights: WEIGHTS}).start().fail("misplaced")
@@ -297,29 +324,37 @@
 })
 
 t.test(
-  "what nobody can load in time is refused at once, with when to come back",
+  "a request whose weights cannot be loaded in time is refused with a retry time",
   async t => {
     const subject = new Subject()
     subject.box.ordersFrom = subject.now + 2_000
     subject.arrive(STREAM, {weights: WEIGHTS})
     t.same(subject.told(), ["end not-run"])
     const end = subject.effects.find(effect => effect.type === "end")
-    t.equal(end?.type === "end" && end.retryAfterMs, 2_000, "when orders go again")
+    t.equal(
+      end?.type === "end" && end.retryAfterMs,
+      2_000,
+      "the time until orders are possible"
+    )
     subject.now += 2_000
     t.same(subject.arrive(STREAM, {weights: WEIGHTS}).told(), ["need"])
   }
 )
 
-t.test("without a leader the wait of the next one counts", async t => {
+t.test("without a leader, the handover time of the next one counts", async t => {
   const subject = new Subject()
   subject.box.led = false
   t.same(subject.arrive(STREAM, {weights: WEIGHTS}).told(), ["end not-run"])
   takePicture(subject.box, engines(), subject.now)
-  t.same(subject.arrive(STREAM, {weights: WEIGHTS}).told(), ["send 1"], "it is held")
+  t.same(
+    subject.arrive(STREAM, {weights: WEIGHTS}).told(),
+    ["send 1"],
+    "an engine holds the adapter"
+  )
 })
 
 t.test(
-  "a request that an engine had begun is not given up for a lost leader",
+  "a request that an engine had started does not fail when the leader is lost",
   async t => {
     const subject = new Subject()
     takePicture(subject.box, engines().slice(0, 1), subject.now)
@@ -329,18 +364,18 @@
   }
 )
 
-t.test("a request waits no longer than its caller does", async t => {
+t.test("a request waits for less time than its caller's patience", async t => {
   const patient: Route = {...STREAM, patienceMs: 2_000}
   const subject = new Subject().arrive(patient, {weights: WEIGHTS})
   t.same(subject.pass(1_499).told(), [])
   t.same(subject.pass(1).told(), ["end not-run"])
 })
 
-// What comes while the process stands still is taken first when it goes on, by news from before.
-t.test("a request waits while the box's news is too old, and is not refused", async t => {
+// After a process pause, requests that arrived meanwhile are handled with the old snapshot.
+t.test("a request waits and is not refused while the snapshot is stale", async t => {
   const subject = new Subject()
   noteNews(subject.box, subject.now)
-  t.same(subject.pass(STALE_MS).arrive(ROUTE).told(), ["send 1"], "just new enough")
+  t.same(subject.pass(STALE_MS).arrive(ROUTE).told(), ["send 1"], "just recent enough")
   const stale = new Subject()
   noteNews(stale.box, stale.now)
   t.same(
@@ -355,7 +390,7 @@
   t.same(stale.pass(0).told(), ["send 1"])
 })
 
-t.test("no request is sent once more by news that is too old", async t => {
+t.test("no request is retried while the snapshot is stale", async t => {
   const subject = new Subject()
   noteNews(subject.box, subject.now)
   subject.arrive(ROUTE).start()
--- a/test/box-suspensions.test.ts
+++ b/test/box-suspensions.test.ts
@@ -1,4 +1,7 @@
-/** Steps of the clock that may have been no suspension: what must not run out by them. */
+/**
+ * Clock steps that may have been no suspension: times and budgets that they must not
+ * expire.
+ */
 import t from "tap"
 import {createBoxServing} from "../src/core/box-state.js"
 import {type ServerNotice, takeNotice} from "../src/core/server-notices.js"
@@ -10,7 +13,7 @@
 
 const STEP_MS = 5_000
 
-/** The clock of the subject steps: it counts a suspension. */
+/** Steps the clock of the subject, which counts as a suspension. */
 function step(subject: Subject): void {
   noteSuspended({serving: subject.box, fleet: undefined}, STEP_MS)
   subject.now += STEP_MS
@@ -23,14 +26,14 @@
   unreadable: undefined
 }
 
-t.test("a request in progress has as long as before", async t => {
+t.test("a clock step does not shorten the time of a request in progress", async t => {
   const subject = new Subject().arrive(ROUTE).start()
   step(subject)
-  t.same(subject.pass(100).told(), [], "it is neither over nor silent")
+  t.same(subject.pass(100).told(), [], "neither expired nor silent")
   t.same(subject.pass(4_000).told(), ["abort", "end timeout"])
 })
 
-t.test("a server's rest lasts as long as before", async t => {
+t.test("a clock step does not shorten a server's back-off", async t => {
   const subject = new Subject()
   for (const server of ["one", "two"]) {
     const said = {...SAYS_NOTHING, restMs: 3_000}
@@ -40,14 +43,14 @@
   t.same(subject.arrive(ROUTE).told(), ["end not-run"])
 })
 
-t.test("a budget over a window does not refill", async t => {
+t.test("a clock step does not refill a window-based budget", async t => {
   const {box, now} = new Subject()
   noteSuspended({serving: box, fleet: undefined}, STEP_MS)
   t.equal(runningMs(box, now + STEP_MS), now)
 })
 
 t.test(
-  "an engine that asked the leader for rest is neither ordered nor asked",
+  "an engine in back-off gets neither orders nor state requests from the leader",
   async t => {
     const options = {
       dataCentre: "a",
--- a/test/box-versions.test.ts
+++ b/test/box-versions.test.ts
@@ -1,4 +1,4 @@
-/** What a box says of the versions that its requests run on. */
+/** What a box logs about the versions that its requests run on. */
 import t from "tap"
 import {noteNews} from "../src/core/box-news.js"
 import {takePicture} from "../src/core/box-places.js"
@@ -7,7 +7,7 @@
 import {takeVersions} from "../src/core/box-versions.js"
 import {engines, STREAM, Subject, WEIGHTS} from "./support/box-subject.js"
 
-/** A box whose news was last complete 700 ms ago, and that now hears of a newer version. */
+/** Returns a box whose snapshot is 700 ms old as it receives a newer version. */
 function hearingLate(): Subject {
   const subject = new Subject()
   takePicture(subject.box, engines(), subject.now)
@@ -23,18 +23,18 @@
   )
 }
 
-t.test("the log tells how old a version can be that is heard of", async t => {
+t.test("the log shows the highest possible age of an announced version", async t => {
   const named = {count: 1, versions: "m/x@2", ageMs: 700}
   t.same(noted(hearingLate(), "versions-named"), [named])
   const started = new Subject()
   takeVersions(started.box, [["m/x", 2]], started.now)
-  t.match(noted(started.drain(), "versions-named"), [{ageMs: -1}], "nobody knows")
+  t.match(noted(started.drain(), "versions-named"), [{ageMs: -1}], "unknown")
   takeVersions(started.box, [["m/x", 2]], started.now)
-  t.same(noted(started.drain(), "versions-named"), [], "told once")
+  t.same(noted(started.drain(), "versions-named"), [], "logged once")
 })
 
 t.test(
-  "the log tells how old a version is at the send and as its answer begins",
+  "the log shows the age of a replaced version at the send and at the start of the answer",
   async t => {
     const subject = hearingLate()
     subject.now += 400
--- a/test/suspensions.test.ts
+++ b/test/suspensions.test.ts
@@ -1,9 +1,8 @@
 /**
- * A box whose machine was suspended believes nothing by the age that its steady clock gives, which does not count
- * the time: no server that left, no lease that ran out and no key that was taken away meanwhile.
- *
- * Found by reading, after machines that are suspended were announced: a suspension was noticed by nothing, since
- * no turn of the loop was late by the only clock that was read.
+ * A box whose machine was suspended must not trust ages by its steady clock, which does
+ * not count the suspension: it must not use servers that left, expired leases or revoked
+ * keys. A suspension delays no turn of the event loop by that clock, so it can go
+ * unnoticed.
  */
 import {setTimeout as sleep} from "node:timers/promises"
 import t from "tap"
@@ -12,10 +11,10 @@
 import {type BedBox, KEY_MS, PlatformBed} from "./support/platform-bed.js"
 import {until} from "./support/wait.js"
 
-/** How long a server that leaves may still be sent requests, milliseconds. */
+/** How long a leaving server may still be sent requests. */
 const DRAIN_MS = 2_000
 
-/** Between two requests of a caller, milliseconds. */
+/** Interval between the requests of a caller. */
 const PAUSE_MS = 40
 
 if (!passOverIfRed("suspensions")) playAll()
@@ -24,7 +23,7 @@
   return bed.boxes.find(box => box !== bed.leader()) as BedBox
 }
 
-/** The plain worker that the box sends to: that of its own data centre. */
+/** Returns the plain worker that the box sends to: that of its own data centre. */
 function plainOf(bed: PlatformBed, box: BedBox): StandInWorker {
   return bed.plain[bed.boxes.indexOf(box) % bed.plain.length] as StandInWorker
 }
@@ -38,7 +37,10 @@
   await Promise.all(calls)
 }
 
-/** How long after it left the worker was still reached, milliseconds; 0: it was not. */
+/**
+ * Returns how long after leaving the worker last received a request, or 0 if it received
+ * none.
+ */
 function lastReachedMs(bed: PlatformBed, worker: StandInWorker): number {
   const ages = bed.judge.arrived
     .filter(request => request.worker === worker.id)
@@ -48,7 +50,7 @@
 
 function playAll(): void {
   t.test(
-    "a box that was suspended sends nothing to a server that left meanwhile",
+    "a resumed box sends nothing to a server that left during the suspension",
     async t => {
       const bed = await PlatformBed.start({boxes: 2, engines: 1, suspendable: true})
       t.teardown(() => bed.stop())
@@ -56,18 +58,18 @@
       const worker = plainOf(bed, box)
       await callFor(bed, box, 200)
       const suspended = bed.suspend(box, DRAIN_MS + 1_000)
-      // No news waits in its connections as it goes on.
+      // No update waits in its connections when it resumes.
       await bed.leader()?.child.end("SIGKILL")
       worker.drain()
       await sleep(DRAIN_MS)
       await Promise.all([suspended, callFor(bed, box, 2_000)])
       const late = lastReachedMs(bed, worker)
       t.ok(late <= DRAIN_MS, `last reached ${late} ms after it left`)
-      t.match(bed.logs(), /"suspendedMs":[23]\d{3}/, "the log tells it")
+      t.match(bed.logs(), /"suspendedMs":[23]\d{3}/, "the suspension is logged")
     }
   )
 
-  t.test("a leader that was suspended orders nothing once another led", async t => {
+  t.test("a resumed leader orders nothing after another box became leader", async t => {
     const bed = await PlatformBed.start({boxes: 3, engines: 2, suspendable: true})
     t.teardown(() => bed.stop())
     const leader = bed.leader() as BedBox
@@ -75,7 +77,8 @@
     const suspended = bed.suspend(leader, 4_000)
     await until("another leads", () => bed.leader() !== leader, 4_000)
     await bed.call(bed.leader() as BedBox, "/stream/x", {adapter: "a1"})
-    // Asked of the old leader while it stands still: it orders as it goes on, if it believes that it leads.
+    // Sent to the old leader while it is suspended: if it still considers itself the leader
+    // when it resumes, it orders loads for them.
     const calls = ["a2", "a3", "a4"].map(adapter =>
       bed.call(leader, "/stream/x", {adapter})
     )
@@ -89,7 +92,7 @@
   })
 
   t.test(
-    "a box that was suspended uses no key that was taken away meanwhile",
+    "a resumed box accepts no key that was revoked during the suspension",
     async t => {
       const tenant = {name: "one", apiKeys: ["key-1", "key-2"]}
       const bed = await PlatformBed.start({
@@ -102,7 +105,7 @@
       t.teardown(() => bed.stop())
       const [box] = bed.boxes as [BedBox]
       t.equal((await bed.call(box, "/safe/x", {key: "key-1"})).status, 200)
-      // What it knows of the store stays as old as it is.
+      // Its snapshot of the store is not refreshed any more.
       box.storeProxy?.set({blockUp: true, blockDown: true})
       bed.tenants = [{...tenant, apiKeys: ["key-2"]}]
       bed.configure()
@@ -118,14 +121,15 @@
     }
   )
 
-  t.test("requests in progress outlive a step of the time of day", async t => {
+  t.test("requests in progress survive a step of the time of day", async t => {
     const bed = await PlatformBed.start({boxes: 1, engines: 1, suspendable: true})
     t.teardown(() => bed.stop())
     const [box] = bed.boxes as [BedBox]
     for (const worker of bed.plain) worker.faults = {slowMs: 1_500}
     const call = bed.call(box, "/unsafe/x", {body: "{}", deadlineMs: 3_000})
     await sleep(300)
-    // As a step of the time of day looks to the box: the steady clock falls behind, and no time has passed.
+    // How the box sees a step of the time of day: the steady clock falls behind although no
+    // time has passed.
     bed.stepTime(box, 2_400)
     t.equal((await call).status, 200)
   })
