--- a/src/core/placement-state.ts
+++ b/src/core/placement-state.ts
@@ -1,32 +1,32 @@
-/** What the leader of a fleet knows of its engines, and who waits for which weights. */
+/** The leader's state of its fleet: engines, and requests that wait for weights. */
 import type {EngineChange, EngineLoads, Need} from "../types/box-messages.js"
 import type {FleetService} from "../types/fleet.js"
 import type {SendGrant} from "../types/rate-messages.js"
 import {createReadingRate, type ReadingRate, type ReadSpan} from "./reading-rate.js"
 import type {FleetIndex} from "./placement-index.js"
 
-/** Where an adapter stands on an engine. */
 export type PlacePhase = "loading" | "ready" | "unloading"
 
+/** An adapter in one of the few slots of an engine. */
 export interface Place {
   version: number
   phase: PlacePhase
-  /** When requests may be sent there. */
+  /** When requests for the adapter may be sent to the engine. */
   readyAt: number
-  /** When the order was given. */
   orderedAt: number
   lastUsed: number
-  /** Requests in progress with it, from all boxes. */
+  /** Requests in progress that use the adapter, from all boxes. */
   running: number
-  /** It came from a near copy, not from the weight store. */
+  /**
+   * Whether it is loaded from weights cached on the engine's host, not from the store.
+   */
   near: boolean
-  /** It was ordered since other engines that hold it were busy, and not since requests waited for it. */
+  /** Whether it was ordered because engines that hold the adapter were busy. */
   copy: boolean
-  /** The older version that stands beside it until it has come: together they take two places. */
+  /** The older version, which keeps a slot of its own until this one is loaded. */
   replaced: number | undefined
 }
 
-/** An order to an engine. */
 export type FleetOrder =
   | {
       readonly operation: "load"
@@ -38,28 +38,29 @@
 
 /** How an order ended. */
 export type OrderResult =
-  /** It is being carried out, or was already so. */
+  /** The engine executes the order, or did so before. */
   | "accepted"
   | "done"
-  /** Another is under way, or the order counter does not match. */
+  /** Another order is in progress, or the expected sequence number does not match. */
   | "conflict"
-  /** The fence is older than one the engine has seen. */
+  /** The engine has seen a newer fencing token. */
   | "fenced"
-  /** The engine is another one, or does not know the weights. */
+  /** Another engine answered, or the engine cannot load these weights. */
   | "misplaced"
   | "refused"
-  /** It may be carried out later. */
+  /** No answer: the order may have been executed, or may be later. */
   | "unknown"
-  /** It did not leave this box. */
+  /** The order did not leave this box. */
   | "not-sent"
 
 /**
- * A load without an answer. Engines carry such orders out seconds later if their count still fits, and
- * under their name they reach the engine's next life, too, whose count begins anew.
+ * A load order without an answer. An engine may execute it seconds later if its sequence
+ * number still matches. Orders are addressed to the server's name, so that one may also
+ * reach the server's next incarnation, which numbers orders from zero.
  */
 export interface StrayOrder {
   readonly expectedSequence: number
-  /** It is lost if it was not carried out by then. */
+  /** From then on the order can no longer be executed. */
   readonly until: number
 }
 
@@ -71,42 +72,45 @@
   leaving: boolean
   models: Set<string>
   readonly places: Map<string, Place>
-  /** Adapters it held lately, with when: their copies are near, newest last. */
+  /** Adapters whose weights the host still caches, with the time of use, newest last. */
   readonly copies: Map<string, number>
-  /** Prompt tokens that wait to be read there. */
+  /** Prompt tokens of its requests that wait for prefill. */
   load: number
   read: ReadSpan
-  /** Its own count of orders; undefined until it was asked. */
+  /** The engine's own count of executed orders. Undefined until reported. */
   sequence: number | undefined
-  /** An order or a question is on its way. */
+  /** Whether an order or a report request awaits its answer. */
   busy: boolean
-  /** The place and order that is on its way. */
+  /** The order that awaits its answer. */
   order: FleetOrder | undefined
-  /** An order without an answer, which may have been carried out, or several. */
+  /** The order with unknown outcome since the last answer, or "several". */
   doubt: FleetOrder | "several" | undefined
-  /** Loads given to its last life that it may carry out yet, and those given to this one. */
+  /** Unconfirmed loads of previous incarnations, which this one may still execute. */
   strays: readonly StrayOrder[]
+  /** Unconfirmed loads of this incarnation. */
   ownStrays: readonly StrayOrder[]
-  /** Nothing is sent to it before. */
+  /** Earliest time of the next order or report request, after a failure or while busy. */
   quietUntil: number
-  /** It asked this box for rest until then: it is sent no order and asked nothing. */
+  /** End of a back-off requested by the server: no order or report request until then. */
   restUntil: number
-  /** It named the rate that it takes: weights that requests wait for go to others. */
+  /**
+   * Whether the server advertised a rate limit. Other engines are preferred for loads.
+   */
   isInNeed: boolean
+  /** Failed calls in a row. */
   failures: number
-  /** When it is asked next what it holds. */
+  /** When the next report is requested. */
   askAt: number
-  /** Its places changed since boxes that wait were told. */
+  /** Whether models or slots changed since the last update to any box. */
   changed: boolean
-  /** They changed since all boxes were told. */
+  /** Whether they changed since the last broadcast. */
   untold: boolean
-  /** What all boxes were told. */
   told: ToldEngine
-  /** Its load does. */
+  /** Whether `queuedTokens` changed since the last broadcast. */
   loadChanged: boolean
 }
 
-/** What all boxes were told that an engine holds. */
+/** What the last broadcast to all boxes said that an engine holds. */
 export interface ToldEngine {
   readonly models: readonly string[]
   readonly places: ReadonlyMap<
@@ -115,16 +119,18 @@
   >
 }
 
-/** A request of some box that waits for weights. */
+/** A request on a box that waits for weights. */
 export interface Waiting {
   readonly box: string
   readonly need: Need
   readonly since: number
 }
 
-/** What an engine says of itself when asked. */
+/** An engine's report of its state. */
 export interface EngineReport {
-  /** When its life began, by its own clock, Unix milliseconds; undefined: it does not tell. */
+  /**
+   * Start of its process by its own clock, Unix milliseconds. Undefined if not reported.
+   */
   readonly startedAt?: number
   readonly sequence: number
   readonly busy: boolean
@@ -132,7 +138,7 @@
     readonly name: string
     readonly adapters: ReadonlyMap<string, number>
   }[]
-  /** Adapters on their way, with their versions. */
+  /** Adapters that are being loaded. */
   readonly pending: readonly {readonly adapter: string; readonly version: number}[]
 }
 
@@ -144,7 +150,7 @@
       readonly expectedSequence: number
     }
   | {readonly type: "ask"; readonly engine: string}
-  /** Changes for some boxes; without them for all. */
+  /** Deltas for `boxes`, or for all boxes if undefined. */
   | {
       readonly type: "places"
       readonly changes: readonly EngineChange[]
@@ -152,14 +158,14 @@
       readonly boxes?: readonly string[]
     }
   | {readonly type: "loads"; readonly loads: EngineLoads}
-  /** Whether a request of a box may be sent once more. */
+  /** Whether a box may retry a request. */
   | {
       readonly type: "retry"
       readonly box: string
       readonly id: string
       readonly allowed: boolean
     }
-  /** Sends of a box to servers that named rates. */
+  /** Requests that a box may send to servers with an advertised rate limit. */
   | {
       readonly type: "send-grants"
       readonly box: string
@@ -177,55 +183,57 @@
       readonly fields: Readonly<Record<string, string | number | boolean>>
     }
 
-/** The events of the catalogue that placement raises. */
+/** The log events of placement. */
 export type FleetNote =
   "place-load" | "place-unload" | "place-trouble" | "place-restarted"
 
 /** What one box has in progress with one adapter on one engine. */
 export interface BoxUse {
   readonly running: number
+  /** Prompt tokens that wait for prefill. */
   readonly tokens: number
 }
 
 export interface Fleet {
   services: ReadonlyMap<string, FleetService>
   readonly engines: Map<string, FleetEngine>
-  /** Newest versions of adapters. */
   readonly versions: Map<string, number>
   readonly waiting: Map<string, Waiting>
-  /** Uses of each box, so that they can be taken back when it is gone. */
+  /** Use by box, then by engine and adapter. It is subtracted when the box is lost. */
   readonly uses: Map<string, Map<string, BoxUse>>
-  /** How often each adapter is asked for: counts that halve with time. */
+  /** Exponentially decayed request count of each adapter. */
   readonly heat: Map<string, {score: number; at: number}>
-  /** Base models that may be loaded from the weight store now, and when that was counted. */
+  /** Token bucket that limits loads of base models from the weight store. */
   loadTokens: number
   loadTokensAt: number
-  /** How long a load takes, learned: from the weight store and from near copies, milliseconds. */
+  /** Learned load times, from the weight store and from cached weights. */
   storeLoadMs: number
   copyLoadMs: number
-  /** Boxes that are told news, this one included. */
+  /** Number of boxes that receive updates, including this one. */
   boxes: number
-  /** When changes were told to all last, and when loads were. */
+  /** When deltas, and when loads were last broadcast. */
   toldAt: number
   loadsToldAt: number
-  /** The order of engines in which loads were told last. */
+  /** The engines of the last broadcast of loads, in its order. */
   toldOrder: readonly string[]
   readonly reading: ReadingRate
-  /** What the current plan looks up. */
   index: FleetIndex
-  /** Something came since the last plan that may let an order be given. */
+  /** Whether an event since the last plan may make a new order possible. */
   unplanned: boolean
   effects: FleetEffect[]
 }
 
-/** Places of an engine that are taken, those on their way and those that strays may take included. */
-export function countTaken({places, strays}: FleetEngine): number {
-  let taken = places.size + strays.length
-  for (const {replaced} of places.values()) if (replaced !== undefined) taken++
-  return taken
+/** Slots in use on an engine, including those of loading and unconfirmed adapters. */
+export function countTaken({
+  places: slots,
+  strays: unconfirmedLoads
+}: FleetEngine): number {
+  let occupied = slots.size + unconfirmedLoads.length
+  for (const {replaced: replacedVersion} of slots.values())
+    if (replacedVersion !== undefined) occupied++
+  return occupied
 }
 
-/** A fleet of which nothing is known. */
 export function createFleet(now: number): Fleet {
   return {
     services: new Map(),
@@ -255,20 +263,21 @@
   }
 }
 
-const HEAT_HALF_LIFE_MS = 10_000
+const POPULARITY_HALF_LIFE_MS = 10_000
 
-/** The heat of an adapter now. */
+/** The decayed request count of an adapter. */
 export function heatOf(fleet: Fleet, adapter: string, now: number): number {
-  const heat = fleet.heat.get(adapter)
-  return heat ? heat.score * 2 ** ((heat.at - now) / HEAT_HALF_LIFE_MS) : 0
+  const popularity = fleet.heat.get(adapter)
+  return popularity
+    ? popularity.score * 2 ** ((popularity.at - now) / POPULARITY_HALF_LIFE_MS)
+    : 0
 }
 
-/** Adds uses to the heat of an adapter. */
-export function warm(fleet: Fleet, adapter: string, uses: number, now: number): void {
-  fleet.heat.set(adapter, {score: heatOf(fleet, adapter, now) + uses, at: now})
+/** Adds requests to the popularity of an adapter. */
+export function warm(fleet: Fleet, adapter: string, requests: number, now: number): void {
+  fleet.heat.set(adapter, {score: heatOf(fleet, adapter, now) + requests, at: now})
 }
 
-/** A place as it is when nothing has used it. */
 export function createPlace(
   version: number,
   phase: Place["phase"],
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -1,6 +1,7 @@
 /**
- * The leader's placement of weights: which adapters sit in which engines' few places. What serves
- * most in time goes first; base models stay within the rate of the weight store.
+ * The leader's placement of weights: which adapters occupy the few slots of which
+ * engines. Loads that serve the most requests in time come first. Loads of base models
+ * stay within the rate limit of the weight store.
  */
 import {adapterKey} from "../types/fleet.js"
 import {chooseSpot, type Spot, takesOrders} from "./placement-choose.js"
@@ -12,46 +13,47 @@
 import {tellNews} from "./placement-news.js"
 import {createPlace, type Fleet, type FleetEngine, heatOf} from "./placement-state.js"
 
-/** Loads of base models that may be saved up. */
-const MAX_LOAD_TOKENS = 2
+/** Capacity of the token bucket for loads of base models. */
+const MAX_BASE_MODEL_LOAD_TOKENS = 2
 
-/** Adapters on their way from the weight store for each engine: more make each slower. */
+/** Adapter loads from the weight store per engine. More would slow each other down. */
 const STORE_LOADS_PER_ENGINE = 2
 
 /**
- * Copies of hot adapters that may be on their way from the weight store for each engine, whatever else is: where
- * demand moves, loads of cold adapters never cease, and each serves one request where a copy serves many.
+ * Loads of replicas from the weight store per engine of the fleet, regardless of other
+ * loads. When demand shifts, loads of unpopular adapters never cease, and each of those
+ * serves one request where a replica serves many.
  */
-const COPY_LOADS_PER_ENGINE = 0.25
+const REPLICA_LOADS_PER_ENGINE = 0.25
 
-/** Copies of one adapter on their way at once: whether more are needed shows when these have come. */
-const COPIES_ON_WAY = 2
+/** Replicas of one adapter that load at once. Their effect shows if more are needed. */
+const MAX_PENDING_REPLICAS = 2
 
-/** An engine with more work than this makes a request wait longer than a load does, milliseconds. */
-const BUSY_MS = 400
+/** Prefill time of queued prompts above which queuing takes longer than a load. */
+const MAX_QUEUE_MS = 400
 
-/** Waiting work past which a hot adapter gets another engine: a copy costs a place, milliseconds. */
-const COPY_WAIT_MS = 450
+/** Prefill time of queued prompts above which a replica is worth its slot. */
+const REPLICATION_QUEUE_MS = 450
 
-/** Gives the orders that are due, tells what changed and refuses what cannot be served. */
-export function planFleet(fleet: Fleet, mayOrder: boolean, now: number): void {
+/** Issues the orders that are due, expires weights requests and sends updates. */
+export function planFleet(fleet: Fleet, canOrder: boolean, now: number): void {
   fleet.unplanned = false
-  if (mayOrder) {
+  if (canOrder) {
     fleet.index = indexFleet(fleet)
-    refillLoads(fleet, now)
+    refillBaseModelLoads(fleet, now)
     for (const engine of fleet.engines.values()) {
       dropStrays(engine, now)
-      askIfDue(fleet, engine, now)
+      requestReportIfDue(fleet, engine, now)
     }
     for (const engine of fleet.engines.values()) loadBaseModel(fleet, engine, now)
     renewVersions(fleet, now)
-    placeWanted(fleet, now)
+    placeRequestedAdapters(fleet, now)
   }
-  expireNeeds(fleet, now)
+  expireWeightsRequests(fleet, now)
   tellNews(fleet, now)
 }
 
-function askIfDue(fleet: Fleet, engine: FleetEngine, now: number): void {
+function requestReportIfDue(fleet: Fleet, engine: FleetEngine, now: number): void {
   if (engine.busy || Math.max(engine.quietUntil, engine.restUntil) > now) return
   if (engine.askAt > now && engine.sequence !== undefined) return
   if (engine.askAt > now) return
@@ -59,7 +61,7 @@
   fleet.effects.push({type: "ask", engine: engine.id})
 }
 
-/** An engine that restarted or came new holds nothing: it needs its base model first. */
+/** Loads the base model on an engine without weights, which is new or restarted. */
 function loadBaseModel(fleet: Fleet, engine: FleetEngine, now: number): void {
   if (!takesOrders(engine, now) || engine.models.size > 0) return
   const limits = fleet.services.get(engine.service)?.engine
@@ -70,57 +72,60 @@
   give(fleet, engine, {operation: "load", model: model.name})
 }
 
-/** An adapter that requests wait for, and what its load is worth. */
-interface Wanted {
+/** An adapter that requests wait for. */
+interface RequestedAdapter {
   readonly adapter: string
   readonly service: string
-  worth: number
+  /** Priority of its load. The highest comes first. */
+  score: number
   /** Engines that failed every request that waits for it. */
   failedAt: readonly string[]
 }
 
-/** Places the adapters that requests wait for, what is worth most first. */
-function placeWanted(fleet: Fleet, now: number): void {
-  copyHot(fleet, now)
-  const wanted = listWanted(fleet, now)
-  let room = STORE_LOADS_PER_ENGINE * fleet.engines.size - countStoreLoads(fleet, now)
-  for (const {adapter, service, failedAt} of wanted) {
-    if (isComing(fleet, adapter, failedAt, now)) continue
-    const store = room > 0 && !hasNearCopy(fleet, adapter, failedAt, now)
-    const spot = chooseSpot(fleet, service, adapter, store, now)
-    if (!spot) continue
-    takeSpot(fleet, spot, adapter, now)
-    // A place made free is for the load that follows: evictions never run ahead of loads.
-    if (!spot.near) room--
+/** Places the adapters that requests wait for, those with the highest score first. */
+function placeRequestedAdapters(fleet: Fleet, now: number): void {
+  replicatePopularAdapters(fleet, now)
+  const requested = listRequestedAdapters(fleet, now)
+  let remainingStoreLoads =
+    STORE_LOADS_PER_ENGINE * fleet.engines.size - countPendingLoads(fleet, now)
+  for (const {adapter, service, failedAt} of requested) {
+    if (isAvailableSoon(fleet, adapter, failedAt, now)) continue
+    const canUseStore =
+      remainingStoreLoads > 0 && !hasCachedWeights(fleet, adapter, failedAt, now)
+    const choice = chooseSpot(fleet, service, adapter, canUseStore, now)
+    if (!choice) continue
+    orderChoice(fleet, choice, adapter, now)
+    // An eviction counts as the load that it makes room for, so as not to run ahead.
+    if (!choice.near) remainingStoreLoads--
   }
 }
 
-function listWanted(fleet: Fleet, now: number): Wanted[] {
-  const wanted = new Map<string, Wanted>()
-  for (const {need, since} of fleet.waiting.values()) {
-    if (need.adapter === undefined) continue
-    const adapter = adapterKey(need.model, need.adapter)
-    const inTime = now - since + fleet.copyLoadMs < need.inTimeMs
-    const worth = (inTime ? 1 : 0.3) * (10 - need.priority)
-    const known = wanted.get(adapter)
-    if (known) {
-      known.worth += worth
-      known.failedAt = known.failedAt.filter(id => need.failedAt.includes(id))
+function listRequestedAdapters(fleet: Fleet, now: number): RequestedAdapter[] {
+  const requested = new Map<string, RequestedAdapter>()
+  for (const {need: weightsRequest, since} of fleet.waiting.values()) {
+    if (weightsRequest.adapter === undefined) continue
+    const adapter = adapterKey(weightsRequest.model, weightsRequest.adapter)
+    const canBeInTime = now - since + fleet.copyLoadMs < weightsRequest.inTimeMs
+    const score = (canBeInTime ? 1 : 0.3) * (10 - weightsRequest.priority)
+    const entry = requested.get(adapter)
+    if (entry) {
+      entry.score += score
+      entry.failedAt = entry.failedAt.filter(id => weightsRequest.failedAt.includes(id))
     } else {
-      const heat = heatOf(fleet, adapter, now)
-      wanted.set(adapter, {
+      const popularity = heatOf(fleet, adapter, now)
+      requested.set(adapter, {
         adapter,
-        service: need.service,
-        worth: worth + heat * 2,
-        failedAt: need.failedAt
+        service: weightsRequest.service,
+        score: score + popularity * 2,
+        failedAt: weightsRequest.failedAt
       })
     }
   }
-  return [...wanted.values()].sort((a, b) => b.worth - a.worth)
+  return [...requested.values()].sort((a, b) => b.score - a.score)
 }
 
-/** Whether some engine has it or gets it soon. */
-function isComing(
+/** Whether an engine holds the adapter or is loading it. */
+function isAvailableSoon(
   fleet: Fleet,
   adapter: string,
   failedAt: readonly string[],
@@ -128,23 +133,23 @@
 ): boolean {
   const newest = fleet.versions.get(adapter) ?? 0
   for (const engine of fleet.engines.values()) {
-    const place = engine.places.get(adapter)
+    const slot = engine.places.get(adapter)
     if (
-      !place ||
+      !slot ||
       engine.leaving ||
       failedAt.includes(engine.id) ||
-      place.phase === "unloading"
+      slot.phase === "unloading"
     )
       continue
-    if (place.version < newest || place.readyAt === Infinity) continue
+    if (slot.version < newest || slot.readyAt === Infinity) continue
     if (engine.failures > 1 && engine.quietUntil > now) continue
     return true
   }
   return false
 }
 
-/** Whether an engine can bring it from a near copy soon, so that the store need not be asked. */
-function hasNearCopy(
+/** Whether an engine can soon load the adapter from cached weights. */
+function hasCachedWeights(
   fleet: Fleet,
   adapter: string,
   failedAt: readonly string[],
@@ -152,61 +157,72 @@
 ): boolean {
   for (const engine of fleet.engines.values()) {
     if (engine.leaving || !engine.copies.has(adapter)) continue
-    // What stands there already was found to be of no use.
+    // `isAvailableSoon` found a slot that holds the adapter unusable.
     if (engine.places.has(adapter) || failedAt.includes(engine.id)) continue
     if (engine.failures > 0 || engine.quietUntil > now + QUIET_MS) continue
-    if (engine.load < tokensIn(fleet, BUSY_MS)) return true
+    if (engine.load < tokensIn(fleet, MAX_QUEUE_MS)) return true
   }
   return false
 }
 
-/** A hot adapter whose engines are busy gets one more place, where a copy is cheap or due. */
-function copyHot(fleet: Fleet, now: number): void {
-  let least = Infinity
+/** Loads a replica of the most popular adapter of each busy engine on a less busy one. */
+function replicatePopularAdapters(fleet: Fleet, now: number): void {
+  let minQueuedTokens = Infinity
   for (const engine of fleet.engines.values()) {
-    if (!engine.leaving && engine.models.size > 0) least = Math.min(least, engine.load)
+    if (!engine.leaving && engine.models.size > 0)
+      minQueuedTokens = Math.min(minQueuedTokens, engine.load)
   }
   for (const engine of fleet.engines.values()) {
-    if (engine.load < tokensIn(fleet, COPY_WAIT_MS) || engine.load < 3 * least) continue
-    const adapter = hottestOf(fleet, engine, now)
+    if (
+      engine.load < tokensIn(fleet, REPLICATION_QUEUE_MS) ||
+      engine.load < 3 * minQueuedTokens
+    )
+      continue
+    const adapter = mostPopularOf(fleet, engine, now)
     if (
       adapter === undefined ||
       countHolders(fleet, adapter) > 1 + heatOf(fleet, adapter, now) / 6
     )
       continue
-    const copies = listCopyLoads(fleet, now)
-    if (copies.filter(each => each === adapter).length >= COPIES_ON_WAY) continue
-    const store = copies.length < fleet.engines.size * COPY_LOADS_PER_ENGINE
-    const spot = chooseSpot(fleet, engine.service, adapter, store, now)
-    if (!spot || spot.engine.load * 3 >= engine.load) continue
-    if (takeSpot(fleet, spot, adapter, now)) noteCopy(spot.engine, adapter)
+    const replicaLoads = listReplicaLoads(fleet, now)
+    if (replicaLoads.filter(each => each === adapter).length >= MAX_PENDING_REPLICAS)
+      continue
+    const canUseStore =
+      replicaLoads.length < fleet.engines.size * REPLICA_LOADS_PER_ENGINE
+    const choice = chooseSpot(fleet, engine.service, adapter, canUseStore, now)
+    if (!choice || choice.engine.load * 3 >= engine.load) continue
+    if (orderChoice(fleet, choice, adapter, now)) markReplica(choice.engine, adapter)
   }
 }
 
-function hottestOf(fleet: Fleet, engine: FleetEngine, now: number): string | undefined {
-  let hottest: string | undefined
-  let most = 2
+function mostPopularOf(
+  fleet: Fleet,
+  engine: FleetEngine,
+  now: number
+): string | undefined {
+  let mostPopular: string | undefined
+  let maxPopularity = 2
   for (const [adapter, {running}] of engine.places) {
-    const heat = heatOf(fleet, adapter, now)
-    if (running > 1 && heat > most) {
-      most = heat
-      hottest = adapter
+    const popularity = heatOf(fleet, adapter, now)
+    if (running > 1 && popularity > maxPopularity) {
+      maxPopularity = popularity
+      mostPopular = adapter
     }
   }
-  return hottest
+  return mostPopular
 }
 
-/** Orders what a spot needs next; true when the load itself was ordered. */
-function takeSpot(fleet: Fleet, spot: Spot, adapter: string, now: number): boolean {
-  const {engine, victim, near} = spot
+/** Orders the eviction that a choice requires, or else the load. True for a load. */
+function orderChoice(fleet: Fleet, choice: Spot, adapter: string, now: number): boolean {
+  const {engine, victim, near: fromCache} = choice
   if (victim !== undefined) {
     unload(fleet, engine, victim, now)
     return false
   }
   const version = fleet.versions.get(adapter) ?? 0
-  const time = near ? fleet.copyLoadMs : fleet.storeLoadMs
-  const place = createPlace(version, "loading", now + time, now)
-  engine.places.set(adapter, {...place, near})
+  const expectedMs = fromCache ? fleet.copyLoadMs : fleet.storeLoadMs
+  const slot = createPlace(version, "loading", now + expectedMs, now)
+  engine.places.set(adapter, {...slot, near: fromCache})
   noteHolder(fleet, engine, adapter)
   giveLoad(fleet, engine, adapter, version)
   fleet.effects.push({
@@ -216,23 +232,23 @@
       engine: engine.id,
       adapter,
       version,
-      near,
+      near: fromCache,
       tokens: Math.floor(fleet.loadTokens)
     }
   })
   return true
 }
 
-function refillLoads(fleet: Fleet, now: number): void {
-  let rate = 0
+function refillBaseModelLoads(fleet: Fleet, now: number): void {
+  let loadsPerSecond = 0
   for (const {engine} of fleet.services.values())
-    rate = Math.max(rate, engine?.loadsPerSecond ?? 0)
-  const gained = ((now - fleet.loadTokensAt) / 1000) * rate
-  fleet.loadTokens = Math.min(MAX_LOAD_TOKENS, fleet.loadTokens + gained)
+    loadsPerSecond = Math.max(loadsPerSecond, engine?.loadsPerSecond ?? 0)
+  const newTokens = ((now - fleet.loadTokensAt) / 1000) * loadsPerSecond
+  fleet.loadTokens = Math.min(MAX_BASE_MODEL_LOAD_TOKENS, fleet.loadTokens + newTokens)
   fleet.loadTokensAt = now
 }
 
-function countStoreLoads(fleet: Fleet, now: number): number {
+function countPendingLoads(fleet: Fleet, now: number): number {
   let count = 0
   for (const engine of fleet.engines.values()) {
     for (const {phase, readyAt} of engine.places.values()) {
@@ -242,28 +258,28 @@
   return count
 }
 
-function noteCopy(engine: FleetEngine, adapter: string): void {
-  const place = engine.places.get(adapter)
-  if (place) place.copy = true
+function markReplica(engine: FleetEngine, adapter: string): void {
+  const slot = engine.places.get(adapter)
+  if (slot) slot.copy = true
 }
 
-/** The adapters of which copies are on their way, each as often as it is. */
-function listCopyLoads(fleet: Fleet, now: number): string[] {
-  return [...fleet.engines.values()].flatMap(({places}) =>
-    [...places].flatMap(([adapter, {copy, phase, readyAt}]) =>
-      copy && phase === "loading" && readyAt > now ? [adapter] : []
+/** Adapters of the replicas that are loading, one entry for each replica. */
+function listReplicaLoads(fleet: Fleet, now: number): string[] {
+  return [...fleet.engines.values()].flatMap(({places: slots}) =>
+    [...slots].flatMap(([adapter, {copy: isReplica, phase, readyAt}]) =>
+      isReplica && phase === "loading" && readyAt > now ? [adapter] : []
     )
   )
 }
 
-/** Requests that gave up by themselves. */
-function expireNeeds(fleet: Fleet, now: number): void {
-  for (const [key, {need, since}] of fleet.waiting) {
-    if (now - since > need.waitMs + 500) fleet.waiting.delete(key)
+/** Removes requests that have expired on their box by now. */
+function expireWeightsRequests(fleet: Fleet, now: number): void {
+  for (const [key, {need: weightsRequest, since}] of fleet.waiting) {
+    if (now - since > weightsRequest.waitMs + 500) fleet.waiting.delete(key)
   }
 }
 
-/** The effects that have come together, and none left. */
+/** Returns the accumulated effects and clears them. */
 export function drainFleet(fleet: Fleet): Fleet["effects"] {
   const {effects} = fleet
   fleet.effects = []
