--- a/src/core/placement-choose.ts
+++ b/src/core/placement-choose.ts
@@ -1,73 +1,74 @@
-/** Where weights go and what makes way: the decisions on an engine's few places. */
+/** Chooses the engine that loads an adapter, and what to evict if no slot is free. */
 import type {EngineLimits} from "../types/fleet.js"
 import {splitAdapterKey} from "../types/fleet.js"
 import {gatherMs} from "./placement-news.js"
 import {countHolders, expectedWork, workAt} from "./placement-index.js"
 import {countTaken, type Fleet, type FleetEngine, heatOf} from "./placement-state.js"
 
-/** Adapters that may be on their way to one engine at once. */
-const MAX_ON_WAY = 4
+/** Adapters that one engine loads at once. */
+const MAX_PENDING_LOADS = 4
 
-/** A free place is worth this much work in tokens. */
-const FREE_PLACE_TOKENS = 300
+// Costs of a choice, compared with the prompt tokens that wait for prefill on the engine.
+const EVICTION_COST_TOKENS = 300
 
-/** A load from the weight store is worth so much work at another engine, tokens. */
-const STORE_TOKENS = 4_000
+const STORE_LOAD_COST_TOKENS = 4_000
 
-/** The same for an engine that takes fewer requests than it could be sent: others go first, tokens. */
-const IN_NEED_TOKENS = 100_000
+/** High enough that engines without a rate limit are always preferred. */
+const RATE_LIMITED_COST_TOKENS = 100_000
 
 /**
- * Beyond the time that uses are gathered, how long the leader may not know of one, milliseconds:
- * weights that have just come would be taken from the requests that waited for them.
+ * Delay of a box's use reports beyond their batch interval. Without it, weights that have
+ * just loaded could be evicted before the requests that waited for them are reported as
+ * running.
  */
-const USE_WAY_MS = 150
+const USE_REPORT_DELAY_MS = 150
 
-/** Copies an engine is believed to keep near. */
+/** Adapters whose weights the host of an engine is assumed to cache. */
 export const MAX_COPIES = 34
 
-/** An engine with what has to go first, if anything. */
+/** The engine that an adapter is to be loaded on. */
 export interface Spot {
   readonly engine: FleetEngine
+  /** The adapter to evict first. Undefined if a slot is free. */
   readonly victim: string | undefined
-  /** The copy is near: the weight store is not asked. */
+  /** Whether the load uses cached weights instead of the weight store. */
   readonly near: boolean
 }
 
-/** The best engine for an adapter, and its victim; `store`: whether it may come from the store. */
+/** Returns the cheapest choice. Without `canUseStore` it uses cached weights. */
 export function chooseSpot(
   fleet: Fleet,
   service: string,
   adapter: string,
-  store: boolean,
+  canUseStore: boolean,
   now: number
 ): Spot | undefined {
   const limits = fleet.services.get(service)?.engine
   if (!limits) return undefined
   let best: Spot | undefined
-  let least = Infinity
+  let minCost = Infinity
   for (const engine of fleet.engines.values()) {
     if (engine.service !== service || !takesOrders(engine, now)) continue
     if (engine.places.has(adapter)) continue
-    const near = engine.copies.has(adapter)
-    if (!near && !store) continue
-    const spot = findRoom(fleet, engine, limits, adapter, near, now)
-    if (!spot) continue
+    const fromCache = engine.copies.has(adapter)
+    if (!fromCache && !canUseStore) continue
+    const choice = chooseOnEngine(fleet, engine, limits, adapter, fromCache, now)
+    if (!choice) continue
     const cost =
       workAt(fleet, engine) +
       expectedWork(fleet, engine, now) +
-      (spot.victim === undefined ? 0 : FREE_PLACE_TOKENS) +
-      (near ? 0 : STORE_TOKENS) +
-      (engine.isInNeed ? IN_NEED_TOKENS : 0)
-    if (cost < least) {
-      least = cost
-      best = spot
+      (choice.victim === undefined ? 0 : EVICTION_COST_TOKENS) +
+      (fromCache ? 0 : STORE_LOAD_COST_TOKENS) +
+      (engine.isInNeed ? RATE_LIMITED_COST_TOKENS : 0)
+    if (cost < minCost) {
+      minCost = cost
+      best = choice
     }
   }
   return best
 }
 
-/** Whether an engine can be given an order now. */
+/** Whether an engine can be sent an order now. */
 export function takesOrders(engine: FleetEngine, now: number): boolean {
   return (
     !engine.leaving &&
@@ -78,66 +79,72 @@
   )
 }
 
-function findRoom(
+function chooseOnEngine(
   fleet: Fleet,
   engine: FleetEngine,
   limits: EngineLimits,
   adapter: string,
-  near: boolean,
+  fromCache: boolean,
   now: number
 ): Spot | undefined {
   const {model} = splitAdapterKey(adapter)
   if (!engine.models.has(model)) return undefined
   if (!takesLoads(engine)) return undefined
-  if (hasRoom(engine, limits, adapter)) return {engine, victim: undefined, near}
+  if (hasRoom(engine, limits, adapter))
+    return {engine, victim: undefined, near: fromCache}
   const victim = chooseVictim(fleet, engine, now)
-  return victim === undefined ? undefined : {engine, victim, near}
+  return victim === undefined ? undefined : {engine, victim, near: fromCache}
 }
 
-/** Whether fewer adapters are on their way to the engine than it takes at once. */
-export function takesLoads({places}: FleetEngine): boolean {
-  let onWay = 0
-  for (const {phase} of places.values()) if (phase === "loading") onWay++
-  return onWay < MAX_ON_WAY
+/** Whether the engine has fewer loads in progress than it may have at once. */
+export function takesLoads({places: slots}: FleetEngine): boolean {
+  let pending = 0
+  for (const {phase} of slots.values()) if (phase === "loading") pending++
+  return pending < MAX_PENDING_LOADS
 }
 
-/** Whether one more adapter, or one more version of it, stays within the engine's places and memory. */
+/** Whether the engine has a slot and memory for one more adapter or version of one. */
 export function hasRoom(
   engine: FleetEngine,
   limits: EngineLimits,
   adapter: string
 ): boolean {
-  return countTaken(engine) < limits.maxAdapters && fits(engine, limits, adapter)
+  return countTaken(engine) < limits.maxAdapters && fitsInMemory(engine, limits, adapter)
 }
 
-function fits(engine: FleetEngine, limits: EngineLimits, adapter: string): boolean {
-  const sizes = new Map(limits.models.map(model => [model.name, model]))
-  let total = sizes.get(splitAdapterKey(adapter).model)?.adapterMb ?? 0
-  for (const model of engine.models) total += sizes.get(model)?.weightsMb ?? 0
-  for (const [key, {replaced}] of engine.places) {
-    const size = sizes.get(splitAdapterKey(key).model)?.adapterMb ?? 0
-    total += replaced === undefined ? size : 2 * size
+function fitsInMemory(
+  engine: FleetEngine,
+  limits: EngineLimits,
+  adapter: string
+): boolean {
+  const modelsByName = new Map(limits.models.map(model => [model.name, model]))
+  let totalMb = modelsByName.get(splitAdapterKey(adapter).model)?.adapterMb ?? 0
+  for (const model of engine.models) totalMb += modelsByName.get(model)?.weightsMb ?? 0
+  for (const [key, {replaced: replacedVersion}] of engine.places) {
+    const sizeMb = modelsByName.get(splitAdapterKey(key).model)?.adapterMb ?? 0
+    totalMb += replacedVersion === undefined ? sizeMb : 2 * sizeMb
   }
-  return total <= limits.weightsMb
+  return totalMb <= limits.weightsMb
 }
 
-/** The coldest adapter that nothing uses or waits for. */
+/** Returns the least popular adapter that no request uses or waits for. */
 export function chooseVictim(
   fleet: Fleet,
   engine: FleetEngine,
   now: number
 ): string | undefined {
   let victim: string | undefined
-  let least = Infinity
-  const untoldMs = gatherMs(fleet.boxes) + USE_WAY_MS
-  for (const [adapter, place] of engine.places) {
-    if (place.phase !== "ready" || place.running > 0) continue
-    if (now - place.readyAt < untoldMs) continue
+  let minPopularity = Infinity
+  const unreportedMs = gatherMs(fleet.boxes) + USE_REPORT_DELAY_MS
+  for (const [adapter, slot] of engine.places) {
+    if (slot.phase !== "ready" || slot.running > 0) continue
+    if (now - slot.readyAt < unreportedMs) continue
     if (fleet.index.awaited.has(adapter)) continue
-    const recent = now - place.lastUsed < 100 ? 100 : 0
-    const heat = heatOf(fleet, adapter, now) / countHolders(fleet, adapter) + recent
-    if (heat < least) {
-      least = heat
+    const recentBonus = now - slot.lastUsed < 100 ? 100 : 0
+    const popularity =
+      heatOf(fleet, adapter, now) / countHolders(fleet, adapter) + recentBonus
+    if (popularity < minPopularity) {
+      minPopularity = popularity
       victim = adapter
     }
   }
--- a/src/core/placement-index.ts
+++ b/src/core/placement-index.ts
@@ -1,97 +1,110 @@
 /**
- * What a plan looks up again and again, counted once for each plan: without it each choice of a
- * place would go through every place of every engine for every adapter it compares.
+ * Counts that a plan looks up repeatedly, computed once per plan. Without them each
+ * choice of a slot would visit every slot of every engine for every adapter that it
+ * compares.
  */
 import {adapterKey} from "../types/fleet.js"
 import {type Fleet, type FleetEngine, heatOf} from "./placement-state.js"
 
-/** Work that an adapter brings its engine for each use counted in its heat, tokens. */
-const HEAT_TOKENS = 400
+/** Prompt tokens expected per unit of an adapter's popularity. */
+const TOKENS_PER_POPULARITY = 400
 
 export interface FleetIndex {
-  /** Engines that hold each adapter, on its way included. */
+  /** Number of engines that hold or load each adapter. */
   readonly holders: Map<string, number>
   /** Adapters that requests wait for. */
   readonly awaited: ReadonlySet<string>
-  /** Work that the adapters of each engine are going to bring it, tokens. */
+  /**
+   * Prompt tokens that the adapters of an engine are expected to attract, if computed.
+   */
   readonly expected: Map<string, number>
   /** Prompt tokens of the requests that wait for each adapter. */
   readonly waiting: ReadonlyMap<string, number>
-  /** Prompt tokens that wait for weights on their way to each engine. */
+  /** Prompt tokens of the requests that wait for adapters that each engine is loading. */
   readonly promised: Map<string, number>
 }
 
-/** Counts for the plan that begins. */
 export function indexFleet(fleet: Fleet): FleetIndex {
-  const holders = new Map<string, number>()
-  for (const {places} of fleet.engines.values()) {
-    for (const adapter of places.keys()) {
-      holders.set(adapter, (holders.get(adapter) ?? 0) + 1)
+  const holderCounts = new Map<string, number>()
+  for (const {places: slots} of fleet.engines.values()) {
+    for (const adapter of slots.keys()) {
+      holderCounts.set(adapter, (holderCounts.get(adapter) ?? 0) + 1)
     }
   }
-  const waiting = countWaiting(fleet)
-  const awaited = new Set(waiting.keys())
-  const promised = countPromised(fleet, waiting)
-  return {holders, awaited, expected: new Map(), waiting, promised}
+  const waitingTokens = countWaitingTokens(fleet)
+  const requestedAdapters = new Set(waitingTokens.keys())
+  const incomingTokens = countIncomingTokens(fleet, waitingTokens)
+  return {
+    holders: holderCounts,
+    awaited: requestedAdapters,
+    expected: new Map(),
+    waiting: waitingTokens,
+    promised: incomingTokens
+  }
 }
 
-function countWaiting(fleet: Fleet): Map<string, number> {
-  const waiting = new Map<string, number>()
-  for (const {need} of fleet.waiting.values()) {
-    if (need.adapter === undefined) continue
-    const adapter = adapterKey(need.model, need.adapter)
-    waiting.set(adapter, (waiting.get(adapter) ?? 0) + need.tokens)
+function countWaitingTokens(fleet: Fleet): Map<string, number> {
+  const waitingTokens = new Map<string, number>()
+  for (const {need: weightsRequest} of fleet.waiting.values()) {
+    if (weightsRequest.adapter === undefined) continue
+    const adapter = adapterKey(weightsRequest.model, weightsRequest.adapter)
+    waitingTokens.set(adapter, (waitingTokens.get(adapter) ?? 0) + weightsRequest.tokens)
   }
-  return waiting
+  return waitingTokens
 }
 
-function countPromised(
+function countIncomingTokens(
   fleet: Fleet,
-  waiting: ReadonlyMap<string, number>
+  waitingTokens: ReadonlyMap<string, number>
 ): Map<string, number> {
-  const promised = new Map<string, number>()
-  for (const {id, places} of fleet.engines.values()) {
+  const incomingTokens = new Map<string, number>()
+  for (const {id, places: slots} of fleet.engines.values()) {
     let tokens = 0
-    for (const [adapter, {phase}] of places) {
-      if (phase === "loading") tokens += waiting.get(adapter) ?? 0
+    for (const [adapter, {phase}] of slots) {
+      if (phase === "loading") tokens += waitingTokens.get(adapter) ?? 0
     }
-    if (tokens > 0) promised.set(id, tokens)
+    if (tokens > 0) incomingTokens.set(id, tokens)
   }
-  return promised
+  return incomingTokens
 }
 
-/** Engines that hold an adapter, at least one. */
+/** Number of engines that hold or load an adapter, at least 1. */
 export function countHolders({index}: Fleet, adapter: string): number {
   return Math.max(1, index.holders.get(adapter) ?? 0)
 }
 
-/** Notes that the plan gave an adapter to one more engine. */
+/** Records that the plan has one more engine load the adapter. */
 export function noteHolder({index}: Fleet, engine: FleetEngine, adapter: string): void {
-  const {holders, expected, waiting, promised} = index
-  holders.set(adapter, (holders.get(adapter) ?? 0) + 1)
-  expected.delete(engine.id)
-  const tokens = (promised.get(engine.id) ?? 0) + (waiting.get(adapter) ?? 0)
-  promised.set(engine.id, tokens)
+  const {
+    holders: holderCounts,
+    expected: expectedTokens,
+    waiting: waitingTokens,
+    promised: incomingTokens
+  } = index
+  holderCounts.set(adapter, (holderCounts.get(adapter) ?? 0) + 1)
+  expectedTokens.delete(engine.id)
+  const tokens = (incomingTokens.get(engine.id) ?? 0) + (waitingTokens.get(adapter) ?? 0)
+  incomingTokens.set(engine.id, tokens)
 }
 
 /**
- * Prompt tokens that wait at an engine, with those of requests whose weights are on their way to
- * it: until these are sent the engine is told of no work, and all loads of a moment would go to
- * the same idle one.
+ * Prompt tokens queued on an engine, including those of requests that wait for weights it
+ * is loading. The latter are not sent to the engine yet. Without them, all loads of the
+ * same moment would go to the one idle engine.
  */
-export function workAt({index}: Fleet, {id, load}: FleetEngine): number {
-  return load + (index.promised.get(id) ?? 0)
+export function workAt({index}: Fleet, {id, load: queuedTokens}: FleetEngine): number {
+  return queuedTokens + (index.promised.get(id) ?? 0)
 }
 
-/** Work that the adapters of an engine are going to bring it, tokens. */
+/** Prompt tokens that the adapters of an engine are expected to attract. */
 export function expectedWork(fleet: Fleet, engine: FleetEngine, now: number): number {
-  const known = fleet.index.expected.get(engine.id)
-  if (known !== undefined) return known
-  let heat = 0
+  const cached = fleet.index.expected.get(engine.id)
+  if (cached !== undefined) return cached
+  let popularity = 0
   for (const adapter of engine.places.keys()) {
-    heat += heatOf(fleet, adapter, now) / countHolders(fleet, adapter)
+    popularity += heatOf(fleet, adapter, now) / countHolders(fleet, adapter)
   }
-  const work = heat * HEAT_TOKENS
-  fleet.index.expected.set(engine.id, work)
-  return work
+  const tokens = popularity * TOKENS_PER_POPULARITY
+  fleet.index.expected.set(engine.id, tokens)
+  return tokens
 }
