--- a/src/core/placement-orders.ts
+++ b/src/core/placement-orders.ts
@@ -1,4 +1,4 @@
-/** Orders to engines, and what their answers change. */
+/** Sends orders to engines and applies their results. */
 import {adapterKey, splitAdapterKey} from "../types/fleet.js"
 import {MAX_COPIES} from "./placement-choose.js"
 import {noteStray} from "./placement-strays.js"
@@ -11,20 +11,19 @@
   type OrderResult
 } from "./placement-state.js"
 
-/** How often an engine is asked while loads are on their way, milliseconds. */
+/** Interval of report requests to an engine while it loads weights. */
 export const ASK_MS = 400
 
-/** After an order without an answer, and at first after a failure, milliseconds. */
+/** Pause after a load of a base model, and the first pause after a failure. */
 export const QUIET_MS = 300
-const MAX_QUIET_MS = 4_000
+const MAX_PAUSE_MS = 4_000
 
-/** Reports tell how things stood so long ago, milliseconds. */
+/** How far a report may lag behind the state of the engine. */
 export const REPORT_LAG_MS = 250
 
-/** Orders in a row without an answer after which an engine is left alone for a while. */
-const MAX_UNKNOWN = 4
+/** Orders in a row without an answer after which orders to the engine pause. */
+const MAX_UNKNOWN_OUTCOMES = 4
 
-/** Takes the answer to an order. */
 export function takeOrderResult(
   fleet: Fleet,
   id: string,
@@ -36,38 +35,39 @@
   if (!engine || !order) return
   engine.busy = false
   engine.order = undefined
-  const {doubt} = engine
+  const {doubt: unresolvedOrder} = engine
   if (result === "accepted" || result === "done") {
     engine.failures = 0
     engine.doubt = undefined
     if (engine.sequence !== undefined) engine.sequence++
     if (result === "done" && order.operation === "load") engine.askAt = now
-    settleOrder(engine, order, result, now)
+    applyAcceptedOrder(engine, order, result, now)
     return
   }
-  undoOrder(engine, order)
+  revertOrder(engine, order)
   if (result === "unknown") noteStray(engine, order, now)
   fleet.effects.push({
     type: "note",
     event: "place-trouble",
     fields: {engine: id, operation: order.operation, adapter: order.adapter ?? "", result}
   })
-  if (result === "unknown" && ++engine.failures < MAX_UNKNOWN) {
-    // It may be carried out yet. The next order carries the same count, so that only one of the
-    // two is: if the next is refused, this one was.
-    engine.doubt = doubt ? "several" : order
+  if (result === "unknown" && ++engine.failures < MAX_UNKNOWN_OUTCOMES) {
+    // The order may still be executed. The next order carries the same sequence number,
+    // so that the engine executes only one of the two. A conflict for the next means that
+    // this one was.
+    engine.doubt = unresolvedOrder ? "several" : order
     return
   }
   engine.doubt = undefined
-  if (result === "conflict" && doubt && doubt !== "several") {
-    return settleDoubt(fleet, engine, doubt, now)
+  if (result === "conflict" && unresolvedOrder && unresolvedOrder !== "several") {
+    return applyUnresolvedOrder(fleet, engine, unresolvedOrder, now)
   }
   engine.sequence = undefined
   engine.askAt = now
   if (result !== "conflict") holdBack(engine, now)
 }
 
-function settleOrder(
+function applyAcceptedOrder(
   engine: FleetEngine,
   order: FleetOrder,
   result: "accepted" | "done",
@@ -82,7 +82,8 @@
   }
   const key = adapterKey(order.model, order.adapter)
   if (order.operation === "unload") {
-    // Only accepted: it waits for its runs, and takes its place until a report is without it.
+    // An accepted unload waits for running requests. The slot is in use until a report
+    // lacks it.
     if (result === "done") engine.places.delete(key)
     else engine.askAt = Math.min(engine.askAt, now + REPORT_LAG_MS)
   } else {
@@ -92,10 +93,11 @@
 }
 
 /**
- * A refused order shows that the one before it, which got no answer, was carried out. To ask the
- * engine instead would take until its report has caught up, and each order until then is refused.
+ * Applies the previous order, which got no answer, after a conflict showed that it was
+ * executed. A report would show the same only after its lag, and until then every order
+ * would be refused.
  */
-function settleDoubt(
+function applyUnresolvedOrder(
   fleet: Fleet,
   engine: FleetEngine,
   order: FleetOrder,
@@ -107,42 +109,49 @@
   engine.changed = true
   if (order.adapter === undefined) return
   const key = adapterKey(order.model, order.adapter)
-  const place = engine.places.get(key)
+  const slot = engine.places.get(key)
   if (order.operation === "unload") {
-    // It may wait for its runs: its place counts until a report is without it.
-    if (place) place.phase = "unloading"
+    // The unload may wait for running requests. The slot is in use until a report lacks
+    // it.
+    if (slot) slot.phase = "unloading"
     return
   }
   const version = order.version ?? 0
-  const coming = createPlace(version, "loading", now + fleet.storeLoadMs, now)
-  const replaced = place && place.version !== version ? place.version : undefined
-  engine.places.set(key, {...coming, replaced, running: place?.running ?? 0})
+  const loadingSlot = createPlace(version, "loading", now + fleet.storeLoadMs, now)
+  const replacedVersion = slot && slot.version !== version ? slot.version : undefined
+  engine.places.set(key, {
+    ...loadingSlot,
+    replaced: replacedVersion,
+    running: slot?.running ?? 0
+  })
   touchCopy(engine, key, now)
 }
 
-function undoOrder(engine: FleetEngine, order: FleetOrder): void {
+function revertOrder(engine: FleetEngine, order: FleetOrder): void {
   if (order.adapter === undefined) return
   const key = adapterKey(order.model, order.adapter)
-  const place = engine.places.get(key)
-  if (!place) return
+  const slot = engine.places.get(key)
+  if (!slot) return
   engine.changed = true
-  if (order.operation === "load" && place.replaced === undefined) {
+  if (order.operation === "load" && slot.replaced === undefined) {
     engine.places.delete(key)
     return
   }
-  place.phase = "ready"
-  if (place.replaced === undefined) return
-  place.version = place.replaced
-  place.replaced = undefined
+  slot.phase = "ready"
+  if (slot.replaced === undefined) return
+  slot.version = slot.replaced
+  slot.replaced = undefined
 }
 
+/** Pauses orders and report requests for a time that doubles with each failure. */
 export function holdBack(engine: FleetEngine, now: number): void {
   engine.failures++
-  const pause = Math.min(MAX_QUIET_MS, QUIET_MS * 2 ** (engine.failures - 1))
-  engine.quietUntil = now + pause
-  engine.askAt = now + pause
+  const pauseMs = Math.min(MAX_PAUSE_MS, QUIET_MS * 2 ** (engine.failures - 1))
+  engine.quietUntil = now + pauseMs
+  engine.askAt = now + pauseMs
 }
 
+/** Marks the cached weights of an adapter as most recently used. */
 export function touchCopy(engine: FleetEngine, adapter: string, now: number): void {
   engine.copies.delete(adapter)
   engine.copies.set(adapter, now)
@@ -158,8 +167,8 @@
   key: string,
   now: number
 ): void {
-  const place = engine.places.get(key)
-  if (place) place.phase = "unloading"
+  const slot = engine.places.get(key)
+  if (slot) slot.phase = "unloading"
   engine.changed = true
   give(fleet, engine, {operation: "unload", ...splitAdapterKey(key)})
   fleet.effects.push({
--- a/src/core/placement-reports.ts
+++ b/src/core/placement-reports.ts
@@ -1,4 +1,4 @@
-/** What the leader learns of engines: their reports, and requests that they refused. */
+/** Applies reports of engines, and their refusals of requests for lack of weights. */
 import {adapterKey} from "../types/fleet.js"
 import {ASK_MS, holdBack, QUIET_MS, REPORT_LAG_MS, touchCopy} from "./placement-orders.js"
 import type {EngineView} from "./box-places.js"
@@ -10,19 +10,19 @@
   type Place
 } from "./placement-state.js"
 
-/** How often otherwise: what it holds may change by itself, milliseconds. */
-const ASK_IDLE_MS = 4_000
+/** Interval of report requests while nothing loads. Slots may change without an order. */
+const IDLE_REPORT_INTERVAL_MS = 4_000
 
-/** Weights that are late are believed to need so much longer, milliseconds. */
-const LATE_MS = 60
+/** Remaining load time assumed for weights that are late. */
+const LATE_LOAD_EXTENSION_MS = 60
 
-/** Weights that take so many times what is expected are taken for lost. */
-const MAX_LATENESS = 3
+/** A load that takes longer than this multiple of the expected time counts as lost. */
+const LOST_LOAD_FACTOR = 3
 
-/** A place that an engine does not confirm in this time after its order is lost, milliseconds. */
-const LOST_PLACE_MS = 2_500
+/** A load that no report confirms within this time after its order counts as lost. */
+const CONFIRMATION_TIMEOUT_MS = 2_500
 
-/** A backend server said that it does not hold what a request needed. */
+/** Handles a refusal of a request by an engine that does not hold the adapter. */
 export function takeMissing(
   fleet: Fleet,
   id: string,
@@ -30,44 +30,45 @@
   now: number
 ): void {
   const engine = fleet.engines.get(id)
-  const place = engine?.places.get(adapter)
-  if (!engine || !place || place.readyAt > now) return
-  // What it holds is asked, since another version may stand there; reports lag.
-  place.readyAt = Infinity
+  const slot = engine?.places.get(adapter)
+  if (!engine || !slot || slot.readyAt > now) return
+  // The engine may hold another version. Its report shows the refused state only after
+  // the lag.
+  slot.readyAt = Infinity
   engine.askAt = Math.min(engine.askAt, now + REPORT_LAG_MS)
   engine.changed = true
 }
 
-/** It said so of what is on its way: that takes longer than believed. */
+/** Handles a refusal of a request by an engine that is still loading the adapter. */
 export function takeLate(fleet: Fleet, id: string, adapter: string, now: number): void {
   const engine = fleet.engines.get(id)
-  const place = engine?.places.get(adapter)
-  if (!engine || !place || place.readyAt > now) return
-  const expected = place.near ? fleet.copyLoadMs : fleet.storeLoadMs
-  if (now - place.orderedAt > MAX_LATENESS * expected + REPORT_LAG_MS) {
+  const slot = engine?.places.get(adapter)
+  if (!engine || !slot || slot.readyAt > now) return
+  const expectedMs = slot.near ? fleet.copyLoadMs : fleet.storeLoadMs
+  if (now - slot.orderedAt > LOST_LOAD_FACTOR * expectedMs + REPORT_LAG_MS) {
     return takeMissing(fleet, id, adapter, now)
   }
-  learnLoadTime(fleet, place)
-  place.readyAt = now + LATE_MS
+  increaseLoadTime(fleet, slot)
+  slot.readyAt = now + LATE_LOAD_EXTENSION_MS
   engine.changed = true
 }
 
 /**
- * Takes over what this box knew of an engine before it led. Boxes go on sending there while the
- * engine is asked what it holds; its report then replaces this.
+ * Adopts the view that this box had of an engine before it became leader. Boxes go on
+ * sending requests by it until the engine's report replaces it.
  */
 export function adoptView(
   engine: FleetEngine,
-  {models, places}: EngineView,
+  {models, places: slots}: EngineView,
   now: number
 ): void {
   engine.models = new Set(models)
-  for (const [adapter, {version, readyAt}] of places) {
+  for (const [adapter, {version, readyAt}] of slots) {
     engine.places.set(adapter, createPlace(version, "ready", readyAt, now))
   }
 }
 
-/** Takes what an engine says of itself; undefined: it did not answer. */
+/** Applies an engine's report. Undefined if it did not answer. */
 export function takeReport(
   fleet: Fleet,
   id: string,
@@ -80,7 +81,7 @@
   if (!report) return holdBack(engine, now)
   engine.failures = 0
   if (engine.sequence !== undefined && report.sequence < engine.sequence) {
-    // Reports lag: an older count says that this one is old.
+    // Reports lag: this one is older than the last executed order.
     engine.askAt = now + ASK_MS / 2
     return
   }
@@ -90,14 +91,15 @@
   }
   engine.models = new Set(report.models.map(({name}) => name))
   if (report.busy) engine.quietUntil = now + QUIET_MS / 3
-  adoptPlaces(fleet, engine, report, now)
-  engine.askAt = now + (hasLoads(engine, now) ? ASK_MS : ASK_IDLE_MS)
+  applyReportedSlots(fleet, engine, report, now)
+  engine.askAt = now + (hasLoads(engine, now) ? ASK_MS : IDLE_REPORT_INTERVAL_MS)
   engine.changed = true
 }
 
 /**
- * The engine that was asked is no more: its server answers from another life, whose entry is on its
- * way. Until it comes, nothing that was believed is sent by or ordered.
+ * Clears the state of an engine whose server answered from another incarnation. Boxes
+ * send it no requests, and it gets no orders, until the entry of the new incarnation
+ * arrives.
  */
 export function takeLifeOver(fleet: Fleet, id: string, now: number): void {
   const engine = fleet.engines.get(id)
@@ -106,52 +108,54 @@
   engine.models = new Set()
   engine.places.clear()
   engine.copies.clear()
-  engine.quietUntil = now + ASK_IDLE_MS
-  engine.askAt = now + ASK_IDLE_MS
+  engine.quietUntil = now + IDLE_REPORT_INTERVAL_MS
+  engine.askAt = now + IDLE_REPORT_INTERVAL_MS
   engine.changed = true
   fleet.effects.push({type: "note", event: "place-restarted", fields: {engine: id}})
 }
 
-function adoptPlaces(
+function applyReportedSlots(
   fleet: Fleet,
   engine: FleetEngine,
   report: EngineReport,
   now: number
 ): void {
-  const held = new Map<string, number>()
+  const loadedVersions = new Map<string, number>()
   for (const {name, adapters} of report.models) {
     for (const [adapter, version] of adapters)
-      held.set(adapterKey(name, adapter), version)
+      loadedVersions.set(adapterKey(name, adapter), version)
   }
-  const pending = new Map(report.pending.map(({adapter, version}) => [adapter, version]))
-  for (const [adapter, place] of engine.places) {
-    if (held.has(adapter) || pending.has(adapter)) continue
-    const coming = place.phase === "loading" && place.readyAt !== Infinity
-    if (coming && now - place.orderedAt < LOST_PLACE_MS) continue
+  const pendingVersions = new Map(
+    report.pending.map(({adapter, version}) => [adapter, version])
+  )
+  for (const [adapter, slot] of engine.places) {
+    if (loadedVersions.has(adapter) || pendingVersions.has(adapter)) continue
+    const isLoading = slot.phase === "loading" && slot.readyAt !== Infinity
+    if (isLoading && now - slot.orderedAt < CONFIRMATION_TIMEOUT_MS) continue
     engine.places.delete(adapter)
   }
-  for (const [adapter, version] of pending) {
-    const place =
+  for (const [adapter, version] of pendingVersions) {
+    const slot =
       engine.places.get(adapter) ?? createPlace(version, "loading", now + 200, now)
-    engine.places.set(adapter, place)
-    place.replaced = held.get(adapter)
-    if (place.phase === "loading") place.readyAt = Math.max(place.readyAt, now)
+    engine.places.set(adapter, slot)
+    slot.replaced = loadedVersions.get(adapter)
+    if (slot.phase === "loading") slot.readyAt = Math.max(slot.readyAt, now)
   }
-  for (const [adapter, version] of held) {
-    if (pending.has(adapter)) continue
-    const place = engine.places.get(adapter)
-    if (place?.phase === "unloading") continue
-    if (!place) engine.places.set(adapter, createPlace(version, "ready", now, now))
-    else if (place.version === version || place.version === 0) {
-      place.version = version
-      place.replaced = undefined
-      if (place.phase === "loading" && place.readyAt <= now) relaxLoadTime(fleet, place)
-      place.phase = "ready"
-      place.readyAt = Math.min(place.readyAt, now)
-    } else if (now - place.orderedAt > LOST_PLACE_MS) {
-      place.version = version
-      place.phase = "ready"
-      place.replaced = undefined
+  for (const [adapter, version] of loadedVersions) {
+    if (pendingVersions.has(adapter)) continue
+    const slot = engine.places.get(adapter)
+    if (slot?.phase === "unloading") continue
+    if (!slot) engine.places.set(adapter, createPlace(version, "ready", now, now))
+    else if (slot.version === version || slot.version === 0) {
+      slot.version = version
+      slot.replaced = undefined
+      if (slot.phase === "loading" && slot.readyAt <= now) decreaseLoadTime(fleet, slot)
+      slot.phase = "ready"
+      slot.readyAt = Math.min(slot.readyAt, now)
+    } else if (now - slot.orderedAt > CONFIRMATION_TIMEOUT_MS) {
+      slot.version = version
+      slot.phase = "ready"
+      slot.replaced = undefined
     }
     touchCopy(engine, adapter, now)
   }
@@ -165,29 +169,36 @@
 }
 
 /**
- * The belief settles where one load in five is late: a late one costs its request a refusal and
- * 60 ms, whereas a belief that is too long costs every request for cold weights the difference.
- * Measured with 21 boxes and 17 engines whose loads take 250 ms, from the boxes' logs: the median
- * wait for cold weights fell from 431 to 272 ms against a belief that is late twice in a hundred.
+ * With these factors the expected load time settles where one load in five is late. A
+ * late load costs its request a refusal and 60 ms, whereas an expectation that is too
+ * long delays every request that waits for a load. With 21 boxes and 17 engines whose
+ * loads take 250 ms, the median wait for a load fell from 431 ms with two late loads in a
+ * hundred to 272 ms.
  */
-const SLOWER = 1.08
-const FASTER = 0.98
+const LOAD_TIME_INCREASE = 1.08
+const LOAD_TIME_DECREASE = 0.98
 const MIN_STORE_LOAD_MS = 100
 const MAX_STORE_LOAD_MS = 1_500
-const MIN_COPY_LOAD_MS = 20
-const MAX_COPY_LOAD_MS = 300
+const MIN_CACHE_LOAD_MS = 20
+const MAX_CACHE_LOAD_MS = 300
 
-/** Weights came later than believed: the next are expected later, too. */
-function learnLoadTime(fleet: Fleet, place: Place): void {
-  if (place.near) {
-    fleet.copyLoadMs = Math.min(MAX_COPY_LOAD_MS, fleet.copyLoadMs * SLOWER)
+function increaseLoadTime(fleet: Fleet, slot: Place): void {
+  if (slot.near) {
+    fleet.copyLoadMs = Math.min(MAX_CACHE_LOAD_MS, fleet.copyLoadMs * LOAD_TIME_INCREASE)
   } else {
-    fleet.storeLoadMs = Math.min(MAX_STORE_LOAD_MS, fleet.storeLoadMs * SLOWER)
+    fleet.storeLoadMs = Math.min(
+      MAX_STORE_LOAD_MS,
+      fleet.storeLoadMs * LOAD_TIME_INCREASE
+    )
   }
 }
 
-/** They came in time: the belief comes down slowly. */
-function relaxLoadTime(fleet: Fleet, place: Place): void {
-  if (place.near) fleet.copyLoadMs = Math.max(MIN_COPY_LOAD_MS, fleet.copyLoadMs * FASTER)
-  else fleet.storeLoadMs = Math.max(MIN_STORE_LOAD_MS, fleet.storeLoadMs * FASTER)
+function decreaseLoadTime(fleet: Fleet, slot: Place): void {
+  if (slot.near)
+    fleet.copyLoadMs = Math.max(MIN_CACHE_LOAD_MS, fleet.copyLoadMs * LOAD_TIME_DECREASE)
+  else
+    fleet.storeLoadMs = Math.max(
+      MIN_STORE_LOAD_MS,
+      fleet.storeLoadMs * LOAD_TIME_DECREASE
+    )
 }
