--- a/src/core/placement-news.ts
+++ b/src/core/placement-news.ts
@@ -1,8 +1,9 @@
 /**
- * What the leader tells boxes of engines. Every box knows every place, so that it needs the leader
- * only for weights that no engine holds. A box that waits for an adapter hears of it at once. All
- * others hear of changes gathered over a time that grows with their number: the messages that a
- * leader sends in a second then have a bound, whatever the number of boxes.
+ * The leader's updates to boxes about engines. Every box receives the slots of all
+ * engines, so that it needs the leader only for weights that no engine holds. A box that
+ * waits for an adapter receives its changes at once. All others receive batches, whose
+ * interval grows with the number of boxes, so that the messages a leader sends per second
+ * are bounded for any number of boxes.
  */
 import type {
   EngineChange,
@@ -13,91 +14,91 @@
 import {adapterKey} from "../types/fleet.js"
 import type {Fleet, FleetEngine, Place, ToldEngine} from "./placement-state.js"
 
-/** Boxes up to which every change is told as it comes. */
-const FEW_BOXES = 16
+/** Up to this number of boxes every change is sent at once. */
+const MAX_UNBATCHED_BOXES = 16
 
 /**
- * Time that changes are gathered for each box there is, milliseconds: a leader then sends some 330
- * gathered messages a second, and a box hears of a change within a quarter of a second at 75 boxes,
- * about what a load takes.
+ * Batch interval per box. A leader then sends some 330 batches a second. With 75 boxes, a
+ * change arrives within a quarter of a second, about the time of a load.
  */
-const GATHER_BOX_MS = 3
+const BATCH_MS_PER_BOX = 3
 
-/** Loads change with each request; they are told this often at most, milliseconds. */
-const LOADS_MS = 100
+/** Least interval of load updates, since loads change with each request. */
+const LOADS_INTERVAL_MS = 100
 
-/** The unit in which loads are told, tokens: what an engine reads in 3 to 5 ms. */
+/** Unit of loads in updates: what an engine prefills in 3 to 5 ms. */
 const LOAD_UNIT_TOKENS = 100
 
-/** Whether there are so few boxes that all is told to all as it comes. */
+/** Whether there are so few boxes that every change is sent to all of them at once. */
 export function isSmall(boxes: number): boolean {
-  return boxes <= FEW_BOXES
+  return boxes <= MAX_UNBATCHED_BOXES
 }
 
-/** How long what one box tells many, or many tell one, is gathered, milliseconds. */
+/** Batch interval of messages from one box to many, or from many to one. 0 means none. */
 export function gatherMs(boxes: number): number {
-  return isSmall(boxes) ? 0 : boxes * GATHER_BOX_MS
+  return isSmall(boxes) ? 0 : boxes * BATCH_MS_PER_BOX
 }
 
-/** Tells what changed since it was told last. */
+/** Sends what changed since the last update, if it is due. */
 export function tellNews(fleet: Fleet, now: number): void {
-  const gap = gatherMs(fleet.boxes)
-  if (gap > 0) {
-    tellWaiting(fleet, now)
-    if (now - fleet.toldAt >= gap) tellTogether(fleet, now)
+  const intervalMs = gatherMs(fleet.boxes)
+  if (intervalMs > 0) {
+    sendToWaitingBoxes(fleet, now)
+    if (now - fleet.toldAt >= intervalMs) sendBatch(fleet, now)
     return
   }
-  const changes = takeChanges(fleet, now)
-  if (changes.length > 0) fleet.effects.push({type: "places", changes})
-  if (now - fleet.loadsToldAt < LOADS_MS) return
-  const loads = takeLoads(fleet, now)
+  const deltas = takeDeltas(fleet, now)
+  if (deltas.length > 0) fleet.effects.push({type: "places", changes: deltas})
+  if (now - fleet.loadsToldAt < LOADS_INTERVAL_MS) return
+  const loads = takeChangedLoads(fleet, now)
   if (loads) fleet.effects.push({type: "loads", loads})
 }
 
-/** Places and loads in one message: many boxes wake up for each. */
-function tellTogether(fleet: Fleet, now: number): void {
-  const changes = takeChanges(fleet, now)
-  const loads = takeLoads(fleet, now)
-  if (changes.length > 0) fleet.effects.push({type: "places", changes, loads})
+/** Sends slots and loads in one message, since each message wakes up many boxes. */
+function sendBatch(fleet: Fleet, now: number): void {
+  const deltas = takeDeltas(fleet, now)
+  const loads = takeChangedLoads(fleet, now)
+  if (deltas.length > 0) fleet.effects.push({type: "places", changes: deltas, loads})
   else if (loads) fleet.effects.push({type: "loads", loads})
 }
 
-/** What changed since all boxes were told; from here on they were. */
-function takeChanges(fleet: Fleet, now: number): EngineChange[] {
+/** Returns the deltas since the last broadcast and marks them as sent. */
+function takeDeltas(fleet: Fleet, now: number): EngineChange[] {
   fleet.toldAt = now
-  const changes: EngineChange[] = []
+  const deltas: EngineChange[] = []
   for (const engine of fleet.engines.values()) {
     if (!engine.untold && !engine.changed) continue
     engine.changed = false
     engine.untold = false
-    const change = describeChange(engine, now)
-    if (change) changes.push(change)
+    const delta = createDelta(engine, now)
+    if (delta) deltas.push(delta)
   }
-  return changes
-}
-
-/** What differs from what boxes were told of an engine; from here on they were told. */
-function describeChange(engine: FleetEngine, now: number): EngineChange | undefined {
-  const before = engine.told
-  engine.told = snapshot(engine)
-  const {told} = engine
-  const places = [...told.places].flatMap(([adapter, {version, readyAt}]) => {
-    const known = before.places.get(adapter)
-    const same = known?.version === version && known.readyAt === readyAt
-    return same ? [] : [toNews(adapter, version, readyAt, now)]
+  return deltas
+}
+
+/** Returns the delta of an engine since the last broadcast and marks it as sent. */
+function createDelta(engine: FleetEngine, now: number): EngineChange | undefined {
+  const previous = engine.told
+  engine.told = createBroadcastState(engine)
+  const {told: current} = engine
+  const slots = [...current.places].flatMap(([adapter, {version, readyAt}]) => {
+    const previousSlot = previous.places.get(adapter)
+    const isUnchanged =
+      previousSlot?.version === version && previousSlot.readyAt === readyAt
+    return isUnchanged ? [] : [toSlotUpdate(adapter, version, readyAt, now)]
   })
-  const gone = [...before.places.keys()].filter(adapter => !told.places.has(adapter))
-  const sameModels = told.models.join() === before.models.join()
-  if (sameModels && places.length === 0 && gone.length === 0) return undefined
-  const models = sameModels ? {} : {models: told.models}
-  return {engine: engine.id, ...models, places, gone}
+  const gone = [...previous.places.keys()].filter(adapter => !current.places.has(adapter))
+  const sameModels = current.models.join() === previous.models.join()
+  if (sameModels && slots.length === 0 && gone.length === 0) return undefined
+  const models = sameModels ? {} : {models: current.models}
+  return {engine: engine.id, ...models, places: slots, gone}
 }
 
-function snapshot(engine: FleetEngine): ToldEngine {
+function createBroadcastState(engine: FleetEngine): ToldEngine {
   return {
     models: [...engine.models],
     places: new Map(
-      listUsable(engine).map(([adapter, {version, readyAt}]) => [
+      listUsableSlots(engine).map(([adapter, {version, readyAt}]) => [
         adapter,
         {version, readyAt}
       ])
@@ -105,11 +106,13 @@
   }
 }
 
-function listUsable({places}: FleetEngine): [adapter: string, place: Place][] {
-  return [...places].filter(([, {phase}]) => phase !== "unloading")
+function listUsableSlots({
+  places: slots
+}: FleetEngine): [adapter: string, place: Place][] {
+  return [...slots].filter(([, {phase}]) => phase !== "unloading")
 }
 
-function toNews(
+function toSlotUpdate(
   adapter: string,
   version: number,
   readyAt: number,
@@ -118,8 +121,8 @@
   return {adapter, version, readyInMs: Math.max(0, Math.round(readyAt - now))}
 }
 
-/** The work at all engines where it changed since boxes were told. */
-function takeLoads(fleet: Fleet, now: number): EngineLoads | undefined {
+/** Returns the loads of all engines and marks them as sent. Undefined if none changed. */
+function takeChangedLoads(fleet: Fleet, now: number): EngineLoads | undefined {
   const order = [...fleet.engines.keys()]
   const sameOrder = order.join() === fleet.toldOrder.join()
   const changed = [...fleet.engines.values()].some(engine => engine.loadChanged)
@@ -131,21 +134,21 @@
   return {...(sameOrder ? {} : {order}), hundreds, tokensPerMs}
 }
 
-/** The work at all engines, with their order, and how fast they do it. */
+/** Returns the queued prompt tokens of all engines, in hundreds, and the prefill rate. */
 export function describeLoads(fleet: Fleet): EngineLoads & {order: readonly string[]} {
   const order = [...fleet.engines.keys()]
-  const hundreds = [...fleet.engines.values()].map(({load}) =>
-    Math.round(load / LOAD_UNIT_TOKENS)
+  const hundreds = [...fleet.engines.values()].map(({load: queuedTokens}) =>
+    Math.round(queuedTokens / LOAD_UNIT_TOKENS)
   )
   return {order, hundreds, tokensPerMs: Number(fleet.reading.tokensPerMs.toFixed(1))}
 }
 
-/** Prompt tokens of a load as it was told. */
+/** Converts a load in hundreds, as sent in updates, to prompt tokens. */
 export function toTokens(hundreds: number): number {
   return hundreds * LOAD_UNIT_TOKENS
 }
 
-/** Tells a box that waits where its adapter is, or will be. */
+/** Sends a waiting box the engines that hold or load its adapter. */
 export function answerNeed(
   fleet: Fleet,
   box: string,
@@ -153,45 +156,43 @@
   now: number
 ): void {
   if (isSmall(fleet.boxes)) return
-  const changes = [...fleet.engines.values()].flatMap(engine =>
-    describePlace(engine, adapter, now)
+  const deltas = [...fleet.engines.values()].flatMap(engine =>
+    describeSlot(engine, adapter, now)
   )
-  if (changes.length > 0) fleet.effects.push({type: "places", changes, boxes: [box]})
+  if (deltas.length > 0)
+    fleet.effects.push({type: "places", changes: deltas, boxes: [box]})
 }
 
-function describePlace(
-  engine: FleetEngine,
-  adapter: string,
-  now: number
-): EngineChange[] {
-  const place = engine.places.get(adapter)
-  if (!place || place.phase === "unloading") return []
-  const places = [toNews(adapter, place.version, place.readyAt, now)]
+function describeSlot(engine: FleetEngine, adapter: string, now: number): EngineChange[] {
+  const slot = engine.places.get(adapter)
+  if (!slot || slot.phase === "unloading") return []
+  const places = [toSlotUpdate(adapter, slot.version, slot.readyAt, now)]
   return [{engine: engine.id, models: [...engine.models], places, gone: []}]
 }
 
-/** Boxes that wait for what just changed are told without waiting for other changes. */
-function tellWaiting(fleet: Fleet, now: number): void {
+/** Sends changes to the boxes that wait for them, outside of batches. */
+function sendToWaitingBoxes(fleet: Fleet, now: number): void {
   for (const engine of fleet.engines.values()) {
     if (!engine.changed) continue
     engine.changed = false
     engine.untold = true
-    for (const {box, need} of fleet.waiting.values()) {
-      if (need.adapter === undefined) continue
-      const adapter = adapterKey(need.model, need.adapter)
-      const changes = describePlace(engine, adapter, now)
-      if (changes.length > 0) fleet.effects.push({type: "places", changes, boxes: [box]})
+    for (const {box, need: weightsRequest} of fleet.waiting.values()) {
+      if (weightsRequest.adapter === undefined) continue
+      const adapter = adapterKey(weightsRequest.model, weightsRequest.adapter)
+      const deltas = describeSlot(engine, adapter, now)
+      if (deltas.length > 0)
+        fleet.effects.push({type: "places", changes: deltas, boxes: [box]})
     }
   }
 }
 
-/** All that is known, for a box that is new. */
+/** Returns a full snapshot of all engines for a box that connects. */
 export function describeFleet(fleet: Fleet, now: number): EngineNews[] {
   return [...fleet.engines.values()].map(engine => ({
     engine: engine.id,
     models: [...engine.models],
-    places: listUsable(engine).map(([adapter, {version, readyAt}]) =>
-      toNews(adapter, version, readyAt, now)
+    places: listUsableSlots(engine).map(([adapter, {version, readyAt}]) =>
+      toSlotUpdate(adapter, version, readyAt, now)
     )
   }))
 }
--- a/src/core/placement-uses.ts
+++ b/src/core/placement-uses.ts
@@ -1,4 +1,4 @@
-/** What the leader hears of boxes: who waits for weights, and what runs where. */
+/** Applies what boxes report to their leader: weights requests and use of engines. */
 import type {Need, UseChange} from "../types/box-messages.js"
 import {adapterKey, type BackendRecord, type FleetService} from "../types/fleet.js"
 import {answerNeed} from "./placement-news.js"
@@ -12,13 +12,12 @@
   warm
 } from "./placement-state.js"
 
-/** An engine as it is listed. */
 type ListedEngine = Pick<
   BackendRecord,
   "id" | "server" | "service" | "dataCentre" | "leaving"
 >
 
-/** Takes the engines of the fleet as they are listed now. */
+/** Adds and removes engines to match the list. */
 export function takeEngines(
   fleet: Fleet,
   services: ReadonlyMap<string, FleetService>,
@@ -27,33 +26,33 @@
 ): void {
   fleet.services = services
   const ids = new Set(listed.map(({id}) => id))
-  const over = new Map<string, FleetEngine>()
+  const removedByServer = new Map<string, FleetEngine>()
   for (const [id, engine] of fleet.engines) {
     if (ids.has(id)) continue
     fleet.engines.delete(id)
-    over.set(engine.server, engine)
+    removedByServer.set(engine.server, engine)
   }
   for (const each of listed) {
-    const known = fleet.engines.get(each.id)
-    if (known) known.leaving = each.leaving
+    const engine = fleet.engines.get(each.id)
+    if (engine) engine.leaving = each.leaving
     else if (services.get(each.service)?.engine) {
-      const strays = keepStrays(over.get(each.server), now)
-      fleet.engines.set(each.id, createEngine(each, strays))
+      const unconfirmedLoads = keepStrays(removedByServer.get(each.server), now)
+      fleet.engines.set(each.id, createEngine(each, unconfirmedLoads))
     }
   }
 }
 
-/** An engine asked the leader's box for rest, which wants no order either. */
+/** Applies a back-off that the engine requested from this box to orders, too. */
 export function keepRest(
   fleet: Fleet,
   id: string,
-  rests: ReadonlyMap<string, number>
+  backoffs: ReadonlyMap<string, number>
 ): void {
   const engine = fleet.engines.get(id)
-  if (engine) engine.restUntil = rests.get(id) ?? 0
+  if (engine) engine.restUntil = backoffs.get(id) ?? 0
 }
 
-/** What an engine takes from all boxes together; undefined: it names no rate. */
+/** Applies the advertised rate limit of a server. Undefined if it has none. */
 export function keepRate(fleet: Fleet, id: string, perSecond: number | undefined): void {
   const engine = fleet.engines.get(id)
   if (engine) engine.isInNeed = perSecond !== undefined
@@ -61,7 +60,7 @@
 
 function createEngine(
   {id, server, service, dataCentre, leaving}: ListedEngine,
-  strays: readonly StrayOrder[]
+  inheritedLoads: readonly StrayOrder[]
 ): FleetEngine {
   return {
     id,
@@ -69,7 +68,7 @@
     service,
     dataCentre,
     leaving,
-    strays,
+    strays: inheritedLoads,
     ownStrays: [],
     models: new Set(),
     places: new Map(),
@@ -92,46 +91,56 @@
   }
 }
 
-/** A request of a box waits for weights. */
-export function takeNeed(fleet: Fleet, box: string, need: Need, now: number): void {
-  fleet.waiting.set(waitingKey(box, need.request), {box, need, since: now})
-  if (need.adapter === undefined) return
-  const adapter = adapterKey(need.model, need.adapter)
+export function takeNeed(
+  fleet: Fleet,
+  box: string,
+  weightsRequest: Need,
+  now: number
+): void {
+  fleet.waiting.set(waitingKey(box, weightsRequest.request), {
+    box,
+    need: weightsRequest,
+    since: now
+  })
+  if (weightsRequest.adapter === undefined) return
+  const adapter = adapterKey(weightsRequest.model, weightsRequest.adapter)
   warm(fleet, adapter, 1, now)
   answerNeed(fleet, box, adapter, now)
 }
 
-/** It waits no longer. */
 export function dropNeed(fleet: Fleet, box: string, request: string): void {
   fleet.waiting.delete(waitingKey(box, request))
 }
 
-/** A box began or ended requests. */
+/** Applies the requests that a box began or ended on engines. */
 export function takeUses(
   fleet: Fleet,
   box: string,
-  changes: readonly UseChange[],
+  deltas: readonly UseChange[],
   now: number
 ): void {
   const uses = fleet.uses.get(box) ?? new Map<string, BoxUse>()
   fleet.uses.set(box, uses)
-  for (const {engine, adapter, begun, ended, tokens} of changes) {
+  for (const {engine, adapter, begun, ended, tokens: tokensDelta} of deltas) {
     const key = `${engine} ${adapter ?? ""}`
-    const change = begun - ended
+    const runningDelta = begun - ended
     const use = uses.get(key) ?? {running: 0, tokens: 0}
-    const after = {running: use.running + change, tokens: use.tokens + tokens}
-    if (after.running === 0 && after.tokens === 0) uses.delete(key)
-    else uses.set(key, after)
+    const updated = {
+      running: use.running + runningDelta,
+      tokens: use.tokens + tokensDelta
+    }
+    if (updated.running === 0 && updated.tokens === 0) uses.delete(key)
+    else uses.set(key, updated)
     if (begun > 0 && adapter !== undefined) warm(fleet, adapter, begun, now)
-    addUse(fleet, engine, adapter, change, tokens, now)
+    applyUseDelta(fleet, engine, adapter, runningDelta, tokensDelta, now)
   }
 }
 
-/** A box is gone: its requests are no more. */
+/** Removes the requests and the use of a box that is lost. */
 export function forgetBox(fleet: Fleet, box: string, now: number): void {
   for (const [key, {running, tokens}] of fleet.uses.get(box) ?? []) {
     const [engine = "", adapter = ""] = key.split(" ")
-    addUse(fleet, engine, adapter || undefined, -running, -tokens, now)
+    applyUseDelta(fleet, engine, adapter || undefined, -running, -tokens, now)
   }
   fleet.uses.delete(box)
   for (const [key, waiting] of fleet.waiting) {
@@ -139,26 +148,26 @@
   }
 }
 
-function addUse(
+function applyUseDelta(
   fleet: Fleet,
   id: string,
   adapter: string | undefined,
-  change: number,
-  tokens: number,
+  runningDelta: number,
+  tokensDelta: number,
   now: number
 ): void {
   const engine = fleet.engines.get(id)
   if (!engine) return
-  engine.load = Math.max(0, engine.load + tokens)
-  if (tokens < 0) noteRead(fleet, engine, -tokens, now)
+  engine.load = Math.max(0, engine.load + tokensDelta)
+  if (tokensDelta < 0) noteRead(fleet, engine, -tokensDelta, now)
   engine.loadChanged = true
-  const place = adapter === undefined ? undefined : engine.places.get(adapter)
-  if (!place) return
-  place.running = Math.max(0, place.running + change)
-  place.lastUsed = now
+  const slot = adapter === undefined ? undefined : engine.places.get(adapter)
+  if (!slot) return
+  slot.running = Math.max(0, slot.running + runningDelta)
+  slot.lastUsed = now
 }
 
-/** A newer version of an adapter is named. */
+/** Sets the newest version of an adapter. Cached weights of older ones are useless. */
 export function takeFleetVersion(fleet: Fleet, adapter: string, version: number): void {
   if ((fleet.versions.get(adapter) ?? 0) >= version) return
   fleet.versions.set(adapter, version)
