--- a/src/core/placement-strays.ts
+++ b/src/core/placement-strays.ts
@@ -1,40 +1,46 @@
 /**
- * Orders to engines that nobody waits for any more and that may be carried out yet. Within one life of
- * an engine its count sees to it that only one of an order and the next is done. Its next life counts
- * from nothing, so that an order of the last one is carried out when the count comes by: until then
- * the place that it may take is kept free, since an engine that is loaded past its places falls.
+ * Load orders without an answer that an engine may still execute. Within one incarnation
+ * the engine's sequence number ensures that it executes only one of such an order and the
+ * next. The next incarnation counts from zero, and executes an order to the previous one
+ * if it arrives when the numbers match. Until then the slot that the order may take is
+ * kept free, since an engine crashes when it loads more adapters than it has slots.
  */
 import type {FleetEngine, FleetOrder, StrayOrder} from "./placement-state.js"
 
-/** Orders without an answer are carried out some seconds late at most, milliseconds. */
-const STRAY_MS = 10_000
+/** Latest time after sending at which an order without an answer may be executed. */
+const MAX_EXECUTION_DELAY_MS = 10_000
 
-/** A load went out, and its answer did not come. */
 export function noteStray(engine: FleetEngine, order: FleetOrder, now: number): void {
   if (order.operation !== "load" || order.adapter === undefined) return
   const expectedSequence = engine.sequence ?? 0
-  // Those with the same count are tries of one order: one of them is done at most.
-  const others = engine.ownStrays.filter(
+  // Of orders with the same sequence number at most one is executed.
+  const otherLoads = engine.ownStrays.filter(
     each => each.expectedSequence !== expectedSequence
   )
-  engine.ownStrays = [...others, {expectedSequence, until: now + STRAY_MS}]
+  engine.ownStrays = [
+    ...otherLoads,
+    {expectedSequence, until: now + MAX_EXECUTION_DELAY_MS}
+  ]
 }
 
-/** The orders of an engine's last life that may reach its next one. */
+/** Returns the loads sent to previous incarnations that the next one may execute. */
 export function keepStrays(
-  last: FleetEngine | undefined,
+  previous: FleetEngine | undefined,
   now: number
 ): readonly StrayOrder[] {
-  if (!last) return []
-  if (last.order) noteStray(last, last.order, now)
-  return [...last.strays, ...last.ownStrays].filter(({until}) => until > now)
+  if (!previous) return []
+  if (previous.order) noteStray(previous, previous.order, now)
+  return [...previous.strays, ...previous.ownStrays].filter(
+    ({until: expiresAt}) => expiresAt > now
+  )
 }
 
-/** Drops those that can't be carried out any more: the count is past them, or they are too old. */
+/** Removes loads that are too old or whose sequence number the engine has passed. */
 export function dropStrays(engine: FleetEngine, now: number): void {
-  const {sequence = 0, strays} = engine
-  if (strays.length === 0) return
-  engine.strays = strays.filter(
-    ({expectedSequence, until}) => until > now && expectedSequence >= sequence
+  const {sequence = 0, strays: inheritedLoads} = engine
+  if (inheritedLoads.length === 0) return
+  engine.strays = inheritedLoads.filter(
+    ({expectedSequence, until: expiresAt}) =>
+      expiresAt > now && expectedSequence >= sequence
   )
 }
