--- a/src/core/backend-changes.ts
+++ b/src/core/backend-changes.ts
@@ -1,14 +1,14 @@
-/** What differs between two lists of backend servers: lives that ended, and servers that requests may be sent to. */
+/** Compares two lists of backend servers: ended incarnations, and usability. */
 import {type BackendList, indexServers, isUsable} from "./backend-list.js"
 
-/** A life that is over, since its server started again. */
+/** An incarnation that ended, since its server started again. */
 export interface EndedLife {
   readonly id: string
-  /** The life that followed. */
+  /** The incarnation that followed. */
   readonly next: string
 }
 
-/** The lives of one list whose servers are in another life in the next. */
+/** Incarnations in `before` whose servers have another incarnation in `after`. */
 export function listEndedLives(before: BackendList, after: BackendList): EndedLife[] {
   if (before.known === after.known) return []
   const servers = indexServers(after)
@@ -18,13 +18,12 @@
   })
 }
 
-/** Backend servers whose usability differs between two lists. */
 export interface UsableChange {
   readonly backend: string
   readonly usable: boolean
 }
 
-/** What became usable or stopped being so from one list to the next. */
+/** Backend servers whose usability differs between two lists. */
 export function diffUsable(before: BackendList, after: BackendList): UsableChange[] {
   if (before.known === after.known) return []
   const changes: UsableChange[] = []
