--- a/src/core/server-lives.ts
+++ b/src/core/server-lives.ts
@@ -1,50 +1,52 @@
 /**
- * Lives of backend servers. A server may end and start again under its name, empty: whatever was
- * believed of it before belongs to another server. Each life has a name of its own, so that beliefs,
- * connections and requests are kept apart without a check in each place. Which of two lives is newer
- * is told by the revision of their entries: the clocks of servers step, and a life may say that it
- * started before the one that it follows.
+ * Incarnations of backend servers. A server that stops and starts again under its name
+ * holds nothing, and no earlier state applies to it. Each incarnation has an id of its
+ * own, which keeps state, connections and requests apart without further checks. The
+ * revision of the entries decides which of two incarnations is newer. Their start times
+ * do not: a server's clock may be set back, so that an incarnation may report an earlier
+ * start than the one before.
  */
 import type {BackendRecord} from "../types/fleet.js"
 import {isLater} from "./eras.js"
 
-/** Stands in no name of a server. */
+/** Not allowed in names of servers. */
 const SEPARATOR = "~"
 const RADIX = 36
 
-/** The name of one life; without a start the server is known by one life only. */
+/** Returns the id of an incarnation. Without a start time it is the server's name. */
 export function nameLife(server: string, startedAt: number | undefined): string {
   if (startedAt === undefined) return server
   return `${server}${SEPARATOR}${startedAt.toString(RADIX)}`
 }
 
-/** Whether the record tells its life apart from others of its server. */
+/** Whether the record's id tells its incarnation from others of the server. */
 export function tellsLife({id, server}: BackendRecord): boolean {
   return id !== server
 }
 
-/** Whether the record is of the life, or of any life where only the server is named. */
+/** Whether `name` is the id of the record's incarnation or the name of its server. */
 export function isOf({id, server}: BackendRecord, name: string): boolean {
   return id === name || server === name
 }
 
-/** When a life started by its server's clock; undefined: it does not tell. */
-function startOf({id, server}: BackendRecord): number | undefined {
+/** Start of an incarnation by its server's clock. Undefined if not reported. */
+function startedAtOf({id, server}: BackendRecord): number | undefined {
   if (id === server) return undefined
   return Number.parseInt(id.slice(server.length + SEPARATOR.length), RADIX)
 }
 
 /**
- * Whether `next` is of a life that says that it started before the known one, from a later era. Revisions tell
- * nothing then: it may be the life before, which a copy of the service brought back.
+ * Whether `next` has a later era but an earlier start time than the known record.
+ * Revisions decide nothing across eras: it may be an earlier incarnation that came back
+ * with a backup.
  */
 export function mayPrecede(next: BackendRecord, known: BackendRecord): boolean {
   if (next.server !== known.server || (next.era ?? 0) <= (known.era ?? 0)) return false
-  const [start, knownStart] = [startOf(next), startOf(known)]
-  return start !== undefined && knownStart !== undefined && start < knownStart
+  const [nextStart, knownStart] = [startedAtOf(next), startedAtOf(known)]
+  return nextStart !== undefined && knownStart !== undefined && nextStart < knownStart
 }
 
-/** Whether `next` is of another life of the same server, and newer. */
+/** Whether `next` is a newer incarnation of the same server. */
 export function succeeds(next: BackendRecord, known: BackendRecord): boolean {
   return next.server === known.server && next.id !== known.id && isLater(next, known)
 }
--- a/src/core/server-notices.ts
+++ b/src/core/server-notices.ts
@@ -1,39 +1,39 @@
 /**
- * What backend servers say of themselves in their answers to this box: that they leave, that they want rest, or
- * what they take from all boxes together.
- * It comes from its source and is newer than any list; only another life of the server ends a leave.
+ * Handles notices in the responses of backend servers: that a server leaves, requests a
+ * back-off, or advertises a rate limit for all boxes together. A notice is newer than any
+ * list of servers. Only the next incarnation of a server that leaves is usable again.
  */
 import type {RateNews} from "../types/rate-messages.js"
 import {noteSaidLeaving} from "./backend-list.js"
 import {pacedForMs, tellSentLately} from "./box-pacing.js"
 import {type BoxServing, note} from "./box-state.js"
 
-/** No server is left alone for longer on its own word, milliseconds. */
+/** Upper limit of the back-off that a server may request. */
 export const MAX_REST_MS = 300_000
 
-/** Lives of servers whose wish for rest is remembered. */
-const MAX_RESTS = 2_000
+const MAX_REMEMBERED_SERVERS = 2_000
 
-/** What the head of one answer says of its server. */
+/** Notices in the headers of one response. */
 export interface ServerNotice {
   readonly leaving: boolean
-  /** It wants no request of this box for so long, milliseconds; undefined: it does not say. */
+  /** Back-off requested from this box. Undefined if none. */
   readonly restMs: number | undefined
-  /** Requests a second that it takes from all boxes together; undefined: it names no rate that can be read. */
+  /** Rate limit for all boxes together. Undefined if it advertises no valid one. */
   readonly perSecond: number | undefined
-  /** What it said of rest or of its rate that cannot be read, shortened; undefined: nothing. */
+  /** An invalid back-off or rate limit, shortened. Undefined if none. */
   readonly unreadable: {readonly of: "rest" | "rate"; readonly text: string} | undefined
 }
 
-/** Whether the answer says anything of its server. */
 export function saysSomething(notice: ServerNotice): boolean {
   const {leaving, restMs, perSecond, unreadable} = notice
   return leaving || [restMs, perSecond, unreadable].some(each => each !== undefined)
 }
 
 /**
- * Takes what a server said; true: it is one that requests went to so far, and leaves. `sentAt`: when the request
- * was sent that it answers; undefined: it answers an order or a question.
+ * Handles the notices in a response. Returns true if the server was usable and now
+ * leaves.
+ *
+ * @param sentAt - When the request was sent. Undefined for orders and report requests.
  */
 export function takeNotice(
   box: BoxServing,
@@ -42,10 +42,10 @@
   sentAt: number | undefined,
   now: number
 ): boolean {
-  const {leaving, restMs} = notice
-  noteUnreadable(box, backend, notice)
-  takeRate(box, backend, notice, sentAt, now)
-  if (restMs !== undefined && restMs > 0) rest(box, backend, restMs, now)
+  const {leaving, restMs: backoffMs} = notice
+  logUnreadable(box, backend, notice)
+  applyAdvertisedRate(box, backend, notice, sentAt, now)
+  if (backoffMs !== undefined && backoffMs > 0) startBackoff(box, backend, backoffMs, now)
   if (!leaving) return false
   const backends = noteSaidLeaving(box.backends, backend)
   if (backends === box.backends) return false
@@ -54,8 +54,8 @@
   return true
 }
 
-/** Once for each server and text. */
-function noteUnreadable(
+/** Logs an invalid notice once for each server and text. */
+function logUnreadable(
   box: BoxServing,
   backend: string,
   {unreadable}: ServerNotice
@@ -63,13 +63,13 @@
   if (!unreadable || box.unreadable.get(backend) === unreadable.text) return
   box.unreadable.set(backend, unreadable.text)
   const [oldest] = box.unreadable.keys()
-  if (box.unreadable.size > MAX_RESTS && oldest !== undefined) {
+  if (box.unreadable.size > MAX_REMEMBERED_SERVERS && oldest !== undefined) {
     box.unreadable.delete(oldest)
   }
   note(box, "notice-unreadable", {backend, ...unreadable})
 }
 
-function takeRate(
+function applyAdvertisedRate(
   box: BoxServing,
   backend: string,
   {perSecond, unreadable}: ServerNotice,
@@ -79,37 +79,41 @@
   if (perSecond === undefined && (sentAt === undefined || unreadable?.of === "rate")) {
     return
   }
-  const word = {perSecond, sentAt: sentAt ?? now, heardAt: now}
-  if (!box.rates.take(backend, word)) return
-  tellRate(box, backend, now)
-  noteRate(box, backend, "answer", now)
+  const advertisedRate = {perSecond, sentAt: sentAt ?? now, heardAt: now}
+  if (!box.rates.take(backend, advertisedRate)) return
+  sendRateUpdate(box, backend, now)
+  handleRateChange(box, backend, "answer", now)
 }
 
-/** Takes what another box heard of servers' rates. */
+/** Applies the rate limits that another box received from servers. */
 export function takeRateNews(
   box: BoxServing,
-  news: readonly RateNews[],
+  updates: readonly RateNews[],
   source: "box" | "leader",
   now: number
 ): void {
-  for (const each of news) {
-    const {server} = each
+  for (const update of updates) {
+    const {server} = update
     if (!box.backends.known.has(server)) continue
-    const result = box.rates.takeNews(each, now)
-    // All boxes hear of a change from their leader; a box that knows better tells the leader, which does not argue.
-    const passes = source === "box" ? result === "changed" : result === "stands"
-    if (passes) tellRate(box, server, now)
-    if (result === "changed") noteRate(box, server, source, now)
+    const result = box.rates.takeNews(update, now)
+    // The leader sends a change to all boxes. A box with a newer rate limit sends it to
+    // the leader, which does not reply with its own.
+    const shouldSend = source === "box" ? result === "changed" : result === "stands"
+    if (shouldSend) sendRateUpdate(box, server, now)
+    if (result === "changed") handleRateChange(box, server, source, now)
   }
 }
 
-function tellRate(box: BoxServing, server: string, now: number): void {
-  const news = box.rates.tell(server, now)
-  if (news) box.effects.push({type: "rate-news", news})
+function sendRateUpdate(box: BoxServing, server: string, now: number): void {
+  const update = box.rates.tell(server, now)
+  if (update) box.effects.push({type: "rate-news", news: update})
 }
 
-/** After the rate itself was told: the leader counts nothing for a server of which it knows no rate. */
-function noteRate(
+/**
+ * Applies a changed rate limit. Call this after the rate limit was sent, since the leader
+ * ignores sent requests of a server without one.
+ */
+function handleRateChange(
   box: BoxServing,
   backend: string,
   source: "answer" | "box" | "leader",
@@ -125,41 +129,47 @@
   tellSentLately(box, [backend], now)
 }
 
-/** In how long the server may be sent requests, milliseconds; 0: now. */
+/** Remaining time of the server's back-off. */
 export function restsForMs(box: BoxServing, backend: string, now: number): number {
   return Math.max(0, (box.rests.get(backend) ?? 0) - now)
 }
 
 /**
- * In how long the first server of the service may be sent requests, milliseconds; 0: one that can take requests
- * neither rests nor has no room, as far as is known.
+ * Time until a server of the service accepts requests again. 0 if one is neither in a
+ * back-off nor at its rate limit, or if there is none.
  */
 export function allClosedForMs(box: BoxServing, service: string, now: number): number {
-  let least = Infinity
+  let minMs = Infinity
   for (const {record} of box.backends.known.values()) {
     if (record.service !== service || record.leaving) continue
     const {id} = record
-    const closedMs = Math.max(restsForMs(box, id, now), pacedForMs(box, id, now))
-    least = Math.min(least, closedMs)
+    const unavailableMs = Math.max(restsForMs(box, id, now), pacedForMs(box, id, now))
+    minMs = Math.min(minMs, unavailableMs)
   }
-  return least === Infinity ? 0 : least
+  return minMs === Infinity ? 0 : minMs
 }
 
-/** The servers that are left alone now. */
-export function listResting({rests}: BoxServing, now: number): string[] {
-  return [...rests].filter(([, until]) => until > now).map(([backend]) => backend)
+/** The servers in a back-off. */
+export function listResting({rests: backoffs}: BoxServing, now: number): string[] {
+  return [...backoffs].filter(([, endsAt]) => endsAt > now).map(([backend]) => backend)
 }
 
-function rest(box: BoxServing, backend: string, askedMs: number, now: number): void {
-  const forMs = Math.min(MAX_REST_MS, askedMs)
-  const until = now + forMs
-  // Answers overtake each other: the longest wish holds.
-  if (until <= (box.rests.get(backend) ?? -Infinity)) return
+function startBackoff(
+  box: BoxServing,
+  backend: string,
+  requestedMs: number,
+  now: number
+): void {
+  const forMs = Math.min(MAX_REST_MS, requestedMs)
+  const endsAt = now + forMs
+  // Responses may arrive out of order: the latest end applies.
+  if (endsAt <= (box.rests.get(backend) ?? -Infinity)) return
   if (restsForMs(box, backend, now) === 0) {
-    note(box, "backend-rests", {backend, forMs: Math.round(forMs), askedMs})
+    note(box, "backend-rests", {backend, forMs: Math.round(forMs), askedMs: requestedMs})
   }
   box.rests.delete(backend)
-  box.rests.set(backend, until)
+  box.rests.set(backend, endsAt)
   const [oldest] = box.rests.keys()
-  if (box.rests.size > MAX_RESTS && oldest !== undefined) box.rests.delete(oldest)
+  if (box.rests.size > MAX_REMEMBERED_SERVERS && oldest !== undefined)
+    box.rests.delete(oldest)
 }
