--- a/src/core/copied-entries.ts
+++ b/src/core/copied-entries.ts
@@ -1,37 +1,44 @@
 /**
- * Entries of backend servers that may be those of an older copy of the key-value service: for a while after it came
- * back from one, neither their places nor their being there says when they were written.
+ * Entries of backend servers that may come from an older backup of the key-value service.
+ * For a while after a restore, neither the position of an entry nor its presence shows
+ * when it was written.
  */
 import type {BackendRecord} from "../types/fleet.js"
 import type {BackendList, KnownBackend, Reading} from "./backend-list.js"
 import {mayBeCopied} from "./eras.js"
 import {mayPrecede} from "./server-lives.js"
 
-/** Whether it may be an earlier life than the known one, as a copy holds it. */
+/** Whether the record may be a restored entry of an earlier incarnation. */
 export function isCopiedLife(
-  {risenAt}: BackendList,
+  {risenAt: restoredAt}: BackendList,
   record: BackendRecord,
-  last: KnownBackend,
+  previous: KnownBackend,
   now: number
 ): boolean {
-  return mayBeCopied(risenAt, now) && mayPrecede(record, last.record)
+  return mayBeCopied(restoredAt, now) && mayPrecede(record, previous.record)
 }
 
 /**
- * Whether its entry may be the copy's: its server was known to be gone before the store came back, or not known, and
- * may have left before this box first read.
+ * Whether the record may be a restored entry of a server that has left: the server was
+ * removed before the restore, or it is unknown and may have left before this box first
+ * read the store.
  */
 export function isWithheld(
-  {gone, risenAt, copiedUntil, known}: BackendList,
+  {
+    gone: removals,
+    risenAt: restoredAt,
+    copiedUntil: restoredEntriesUntil,
+    known
+  }: BackendList,
   {id, server}: BackendRecord,
   isKnown: boolean,
   {source}: Reading,
   now: number
 ): boolean {
-  // Another box that lists it remembers more than this one.
-  if (now < copiedUntil && source === "store" && !known.has(id)) return true
-  if (!mayBeCopied(risenAt, now)) return false
-  const goneAt = gone.get(id) ?? gone.get(server)
-  if (goneAt !== undefined && goneAt < risenAt) return true
+  // Another box that lists the server remembers more than this one.
+  if (now < restoredEntriesUntil && source === "store" && !known.has(id)) return true
+  if (!mayBeCopied(restoredAt, now)) return false
+  const removedAt = removals.get(id) ?? removals.get(server)
+  if (removedAt !== undefined && removedAt < restoredAt) return true
   return source === "store" && !isKnown
 }
--- a/src/core/news-age.ts
+++ b/src/core/news-age.ts
@@ -1,95 +1,104 @@
 /**
- * How old the news of a box may be. News is as old as the reading of the store that it rests on,
- * whoever read it and whoever passed it on: that no call failed, or that a watch told nothing, says
- * nothing of its age. Within two seconds of the store's word a box must know that a backend server
- * leaves. The longest way there, milliseconds:
+ * Limits on the age of the store snapshot that a box works with. Its age counts from the
+ * store read it comes from, whichever box read it and passed it on. A lack of failed
+ * calls or of watch events does not make it newer. A box must know within two seconds
+ * after the store has it that a backend server leaves. The longest delays until then, in
+ * milliseconds:
  *
- * | from the store's word until | longest |
+ * | from the write in the store until | longest |
  * | --- | --- |
- * | the box's news is too old | `OLDEST_MS` 1,300 |
- * | it looks at that (a tick) | 100 |
- * | its own list counts as late, and the next one is on a new connection | `LATE_MS` 150 |
- * | a list, a new connection, or another box's list | 50 |
+ * | the box's snapshot is too old | `REFRESH_AGE_MS` 1,300 |
+ * | the box checks the age (a tick) | 100 |
+ * | its own read counts as late, and the next one uses a new connection | `LATE_ANSWER_MS` 150 |
+ * | a read, a new connection, or another box's read | 50 |
  *
- * That is 1,600; what is left bears one more failure. A leader that reads in time is heard sooner:
- * after `LIST_MS`, a late list, a tick and a way, 1,200. A send looks at the list of servers once more as
- * its bytes leave, so that no wait for a connection comes on top. A process that stood still has looked
- * at nothing: whatever kept it, no request goes out by news older than `STALE_MS` before it has looked.
+ * The sum is 1,600. The rest allows for one more failure. Updates of a leader that reads
+ * in time arrive sooner: `LIST_INTERVAL_MS`, a late read, a tick and the link delay,
+ * 1,200. The list of servers is checked again as a request's bytes are sent, so that a
+ * wait for a connection adds no delay. A process that was paused has checked nothing
+ * meanwhile: it sends no request by a snapshot older than `STALE_MS` before it has
+ * checked.
  */
 
-/** From one list of a leader, or of a box that lists for itself, to the next, milliseconds. */
+/** Interval of reads by a leader, or by a box that reads the store itself. */
 export const LIST_MS = 900
 
-/** A box with older news reads the store itself, milliseconds: `LIST_MS`, a late list of the leader's, a tick. */
+/**
+ * A box whose snapshot is older reads the store itself. Allows for `LIST_INTERVAL_MS`, a
+ * late read of the leader and a tick.
+ */
 export const OLDEST_MS = 1_300
 
-/** Requests wait while news is older, until newer comes or none is to be had, milliseconds. */
+/** Requests wait while the snapshot is older, unless no newer one can be had. */
 export const STALE_MS = 1_700
 
-/** A process whose tick is late by more stood still: what it asked before says nothing now, milliseconds. */
+/**
+ * A tick that is later by more shows that the process was paused. Answers to what it
+ * asked before are then of unknown age.
+ */
 export const STOOD_STILL_MS = 400
 
 /**
- * An answer of the store that takes longer is late, milliseconds: it answers within some ten, and a
- * connection that went silent shows by nothing else. What is asked again goes over a new one.
+ * Timeout of an answer of the store, after which a new connection is used. The store
+ * answers within some 10 ms, and nothing else shows that a connection is dead.
  */
 export const LATE_MS = 150
 
-/** Between two times that a box asks others for what it cannot read itself, at first and at most, milliseconds. */
-const ASK_PAUSE_MS = 250
-const LONGEST_ASK_PAUSE_MS = 1_000
+/** First and longest pause between two requests to other boxes for their snapshot. */
+const MIN_PEER_READ_PAUSE_MS = 250
+const MAX_PEER_READ_PAUSE_MS = 1_000
 
-/** The pause after an ask, by how many in turn brought nothing: in an outage all boxes ask all others. */
-export function askPauseMs(failedAsks: number): number {
-  return Math.min(LONGEST_ASK_PAUSE_MS, ASK_PAUSE_MS * 2 ** failedAsks)
+/** Pause after failed requests in a row, since all boxes ask all others in an outage. */
+export function askPauseMs(failedReads: number): number {
+  return Math.min(MAX_PEER_READ_PAUSE_MS, MIN_PEER_READ_PAUSE_MS * 2 ** failedReads)
 }
 
 /**
- * Whether a box that is asked passes on what it knows without reading the store. Only what is newer
- * than the asker's own: most boxes hold what their leader told them, which is nothing new where the
- * leader asks. Boxes that the store turns away have others read seldom by it.
+ * Whether a box passes on its snapshot to a box that requests one, without reading the
+ * store. It must be newer than that of the requester: most boxes have a snapshot of their
+ * leader, which is of no use to the leader. This way, boxes that the store rejects rarely
+ * cause reads by others.
  */
-export function isNewer(ageMs: number, askerAgeMs: number): boolean {
-  return ageMs + LATE_MS < askerAgeMs
+export function isNewer(ageMs: number, requesterAgeMs: number): boolean {
+  return ageMs + LATE_MS < requesterAgeMs
 }
 
-/** What the news of a box rests on: the clock of the box at the readings, or before. */
+/** Lower bounds of the times of the store reads behind a box's snapshot, by its clock. */
 export interface NewsAge {
-  /** Its own reading, or that of a box that it asked. */
+  /** Read by this box, or by another at its request. */
   readonly readAt: number
-  /** Its leader's. */
+  /** Read by its leader. */
   readonly leaderReadAt: number
 }
 
-/** A box that knows nothing. */
 export function createNewsAge(): NewsAge {
   return {readAt: -Infinity, leaderReadAt: -Infinity}
 }
 
-/** A reading by the box itself or one that it asked; an older one than is known changes nothing. */
-export function noteReading(age: NewsAge, at: number): NewsAge {
-  return {...age, readAt: Math.max(age.readAt, at)}
+/** Records a read by this box or another at its request. Older reads change nothing. */
+export function noteReading(age: NewsAge, readAt: number): NewsAge {
+  return {...age, readAt: Math.max(age.readAt, readAt)}
 }
 
-/** The leader said how old its reading is. */
-export function noteLeaderReading(age: NewsAge, at: number): NewsAge {
-  return {...age, leaderReadAt: Math.max(age.leaderReadAt, at)}
+/** Records a read by the leader. */
+export function noteLeaderReading(age: NewsAge, readAt: number): NewsAge {
+  return {...age, leaderReadAt: Math.max(age.leaderReadAt, readAt)}
 }
 
-/** Since the newest reading, milliseconds; Infinity: there was none. */
+/** Time since the newest read. Infinity if there was none. */
 export function newsAgeMs({readAt, leaderReadAt}: NewsAge, now: number): number {
   return now - Math.max(readAt, leaderReadAt)
 }
 
-/** Whether a box need not read the store itself, since its leader does. */
+/** Whether the leader's snapshot is so fresh that this box need not read the store. */
 export function hearsOfLeader({leaderReadAt}: NewsAge, now: number): boolean {
   return now - leaderReadAt < OLDEST_MS
 }
 
-/** What a box had of the store since it read it last. */
+/** Trouble with the store since the last successful read. */
 export type StoreTrouble =
   | "none"
-  /** Its calls failed; others may be served. */
+  /** This box's calls failed. The store may serve other boxes. */
   | "own"
-  /** Nobody has read the store for it since its news grew old: the store may be away for all. */
+  /** No box could read the store since the snapshot became too old. */
   | "store"
