--- a/src/core/leadership.ts
+++ b/src/core/leadership.ts
@@ -1,30 +1,31 @@
 /**
- * The lease under which one box leads: it alone orders engines. A lease counts from the moment
- * its call was sent, on the steady clock, less a margin; orders are checked in the turn they go.
+ * The lease of the leader, the only box that sends orders to engines. For its holder a
+ * lease counts from the time at which the call was sent, by the monotonic clock, less a
+ * margin. It is checked in the same turn of the event loop in which an order is sent.
  */
 
 export interface LeadershipOptions {
   readonly ttlMs: number
-  /** Taken off the lease by its holder. */
+  /** The holder regards the lease as expired this much earlier. */
   readonly marginMs: number
-  /** Engines refuse orders with an old fence, so that a new leader need not wait. */
+  /** Whether engines refuse old fencing tokens, so that a new leader need not wait. */
   readonly checksFences: boolean
-  /** Where they do not: the least time between orders of two leaders, milliseconds. */
+  /** Least time between orders of two leaders, if engines do not. */
   readonly orderGapMs: number
 }
 
-/** A lapsed lease is seen and claimed within this, milliseconds: a look and its scatter. */
-const CLAIM_MS = 450
+/** Longest time until an expired lease is claimed: the check interval and its jitter. */
+const MAX_CLAIM_DELAY_MS = 450
 
-/** From the loss of a leader until the next one orders: its lease, being found, and the wait. */
+/** Longest time from the loss of a leader to the first order of the next. */
 export function takeoverMs(options: LeadershipOptions): number {
-  return options.ttlMs + CLAIM_MS + handoverMs(options)
+  return options.ttlMs + MAX_CLAIM_DELAY_MS + handoverMs(options)
 }
 
 /**
- * How long a new leader waits before its first order. When it could claim the lead, the lease of the
- * one before had run out in the store, and earlier by that one's own clock. Its last order may
- * just have left, which takes no longer than the margin.
+ * How long a new leader waits before its first order. When it claims leadership, the
+ * lease of the previous leader has expired in the store, and earlier by that leader's own
+ * clock. Its last order may just have been sent, which takes no longer than the margin.
  */
 export function handoverMs({
   checksFences,
@@ -35,22 +36,21 @@
 }
 
 export interface Leadership {
-  /** The fence of the orders; undefined: another box leads, or none. */
+  /** The fencing token of orders. Undefined if this box does not lead. */
   fence: number | undefined
   lease: string | undefined
   validUntil: number
-  /** No order before. */
+  /** Earliest time of an order. */
   orderFrom: number
-  /** False: the store came back from an older copy, and may not know this lead; no order goes out. */
+  /** False after a restore of the store, which may lack the lease: no orders then. */
   confirmed: boolean
   /**
-   * When the last lead of this same process ended in which it could order. Another that led since
-   * would have had to wait: until then nobody else has ordered.
+   * When this process last lost a leadership in which it could send orders. Any leader
+   * since then has to wait for `handoverMs` before its first order.
    */
   endedAt: number
 }
 
-/** A box that does not lead. */
 export function createLeadership(): Leadership {
   return {
     fence: undefined,
@@ -62,61 +62,66 @@
   }
 }
 
-/** A claim that the store has taken. */
+/** A claim of leadership that the store has accepted. */
 export interface Claim {
   readonly fence: number
   readonly lease: string
-  /** When its lease was asked for. */
+  /** When the lease was requested. */
   readonly sentAt: number
-  /** The era of the store had begun by then; undefined: the store tells none. */
+  /** Upper bound of the begin of the store's era. Undefined if the store reports none. */
   readonly eraBy?: number | undefined
 }
 
-/** The lead was claimed. */
+/** Begins a leadership after a successful claim. */
 export function takeLead(
   leadership: Leadership,
   claim: Claim,
   now: number,
   options: LeadershipOptions
 ): void {
-  holdLead(leadership, claim, options)
+  holdLease(leadership, claim, options)
   const {endedAt} = leadership
-  // In the era before, another may have led that the store has forgotten.
+  // In the previous era another box may have led, which the restored store can't show.
   const sameEra = claim.eraBy === undefined || endedAt > claim.eraBy
-  const own = sameEra && now - endedAt < handoverMs(options)
-  leadership.orderFrom = own
+  const noOtherLeader = sameEra && now - endedAt < handoverMs(options)
+  leadership.orderFrom = noOtherLeader
     ? now
-    : Math.max(now + handoverMs(options), afterEarlierEras(claim, options))
+    : Math.max(now + handoverMs(options), earliestOrderAfterEra(claim, options))
 }
 
 /**
- * A leader of the era before goes on for its lease at most, which the store did not wait out as it came back
- * without it. Where engines check fences, this one's is higher.
+ * Returns the time from which no leader of the previous era can send orders. Such a
+ * leader may go on until its lease ends, and a store that was restored without the lease
+ * does not wait for that. If engines check fencing tokens there is no need to wait, since
+ * the new one is higher.
  */
-function afterEarlierEras({eraBy}: Claim, options: LeadershipOptions): number {
-  if (options.checksFences || eraBy === undefined) return -Infinity
-  return eraBy + options.ttlMs + handoverMs(options)
+function earliestOrderAfterEra(
+  {eraBy: eraBegunBy}: Claim,
+  options: LeadershipOptions
+): number {
+  if (options.checksFences || eraBegunBy === undefined) return -Infinity
+  return eraBegunBy + options.ttlMs + handoverMs(options)
 }
 
-/** The store came back from an older copy: it may not know the lead any more. */
+/** Suspends orders after a restore of the store, which may have lost the lease. */
 export function doubtLead(leadership: Leadership): void {
   leadership.confirmed = leadership.fence === undefined
 }
 
-/** The lead was claimed again in the new era, before any other box did. */
+/** Resumes a leadership that was claimed again in the new era before any other claim. */
 export function confirmLead(
   leadership: Leadership,
   claim: Claim,
   now: number,
   options: LeadershipOptions
 ): void {
-  // While it led by its own clock no other box led in the era before.
-  if (leads(leadership, now)) return holdLead(leadership, claim, options)
+  // While its lease is valid by its own clock, no other box led in the previous era.
+  if (leads(leadership, now)) return holdLease(leadership, claim, options)
   endLead(leadership, now)
   takeLead(leadership, claim, now, options)
 }
 
-function holdLead(
+function holdLease(
   leadership: Leadership,
   {fence, lease, sentAt}: Claim,
   {ttlMs, marginMs}: LeadershipOptions
@@ -127,32 +132,31 @@
   leadership.confirmed = true
 }
 
-/** The lease was renewed by a call sent at `sentAt`. */
+/** Extends the lease after a renewal that was sent at `sentAt`. */
 export function renewLead(
   leadership: Leadership,
   sentAt: number,
   options: LeadershipOptions
 ): void {
-  const until = sentAt + options.ttlMs - options.marginMs
-  leadership.validUntil = Math.max(leadership.validUntil, until)
+  const validUntil = sentAt + options.ttlMs - options.marginMs
+  leadership.validUntil = Math.max(leadership.validUntil, validUntil)
 }
 
-/** The lead is over. */
 export function endLead(leadership: Leadership, now: number): void {
   if (leadership.fence === undefined) return
   leadership.fence = undefined
   leadership.lease = undefined
   leadership.confirmed = true
-  const end = Math.min(now, leadership.validUntil)
-  if (end >= leadership.orderFrom) leadership.endedAt = end
+  const endedAt = Math.min(now, leadership.validUntil)
+  if (endedAt >= leadership.orderFrom) leadership.endedAt = endedAt
 }
 
-/** Whether this box still leads by its own clock. */
+/** Whether the lease is valid by this box's clock. */
 export function leads(leadership: Leadership, now: number): boolean {
   return leadership.fence !== undefined && now < leadership.validUntil
 }
 
-/** Whether an order may leave now. */
+/** Whether an order may be sent now. */
 export function mayOrder(leadership: Leadership, now: number): boolean {
   return leads(leadership, now) && leadership.confirmed && now >= leadership.orderFrom
 }
--- a/src/core/link-delay.ts
+++ b/src/core/link-delay.ts
@@ -1,50 +1,55 @@
 /**
- * How long messages of a link were on their way, without a common clock. The difference of the receiver's
- * time of hearing and the sender's of sending is least for the message that was fastest; what another has
- * beyond that it spent in buffers, on the link, or waiting for a process that stood still.
+ * Estimates the transit time of messages on a link without a common clock. The difference
+ * between the receiver's time of receipt and the sender's time of sending is least for
+ * the fastest message. What another message takes beyond that was spent in buffers, on
+ * the network or during a process pause.
  *
- * What a leader says of the age of its news is true as it sends. Without this a message that lay somewhere
- * for a second would make a box believe that it knows of everything up to a second later than it does.
+ * The snapshot age in a leader's message is correct when it is sent. Without this
+ * estimate, a message that was delayed by a second would make the snapshot appear a
+ * second newer than it is.
  */
 
-/** The least difference is kept for one to two such spans, milliseconds: clocks of two boxes part by some 10 ms in that. */
-const SPAN_MS = 30_000
+/** The least difference is kept for 1 to 2 windows. Clocks drift by 10 ms in that. */
+const WINDOW_MS = 30_000
 
-/** The least differences of a link, milliseconds. */
+/** The least differences between receipt and sending on a link. */
 export interface LinkDelay {
-  /** When the span began, by the clock of the receiver. */
+  /** Start of the current window, by the receiver's clock. */
   readonly since: number
   readonly least: number
-  /** The same of the span before; Infinity: there was none. */
+  /** The same for the previous window. Infinity if there was none. */
   readonly leastBefore: number
 }
 
 /**
- * A link whose first message answers one that was sent at `askedAt`, by the clock of the receiver: it was sent
- * after that, and so was no longer on its way than since.
+ * Creates the state of a link from its first message, which answers a request sent at
+ * `requestedAt` by the receiver's clock. The message was sent later, which bounds its
+ * transit time.
  */
-export function createLinkDelay(askedAt: number, firstSentAt: number): LinkDelay {
-  return {since: askedAt, least: askedAt - firstSentAt, leastBefore: Infinity}
+export function createLinkDelay(requestedAt: number, firstSentAt: number): LinkDelay {
+  return {since: requestedAt, least: requestedAt - firstSentAt, leastBefore: Infinity}
 }
 
-/** Takes the times of a message. */
 export function noteMessage(
   delay: LinkDelay,
   sentAt: number,
-  heardAt: number
+  receivedAt: number
 ): LinkDelay {
-  const difference = heardAt - sentAt
-  if (heardAt - delay.since < SPAN_MS) {
+  const difference = receivedAt - sentAt
+  if (receivedAt - delay.since < WINDOW_MS) {
     return {...delay, least: Math.min(delay.least, difference)}
   }
-  return {since: heardAt, least: difference, leastBefore: delay.least}
+  return {since: receivedAt, least: difference, leastBefore: delay.least}
 }
 
-/** So long the message was on its way, milliseconds; the fastest of late took none by this count. */
+/** Returns the transit time of a message in excess of the fastest recent one. */
 export function onWayMs(
-  {least, leastBefore}: LinkDelay,
+  {least: minDifferenceMs, leastBefore: previousMinDifferenceMs}: LinkDelay,
   sentAt: number,
-  heardAt: number
+  receivedAt: number
 ): number {
-  return Math.max(0, heardAt - sentAt - Math.min(least, leastBefore))
+  return Math.max(
+    0,
+    receivedAt - sentAt - Math.min(minDifferenceMs, previousMinDifferenceMs)
+  )
 }
