--- a/src/core/backend-list.ts
+++ b/src/core/backend-list.ts
@@ -74,8 +74,8 @@
 }
 
 /** Sets until when every entry that this box reads may be a restored one. */
-export function noteCopy(list: BackendList, copiedUntil: number): BackendList {
-  return {...list, copiedUntil}
+export function noteCopy(list: BackendList, restoredEntriesUntil: number): BackendList {
+  return {...list, copiedUntil: restoredEntriesUntil}
 }
 
 /**
@@ -83,9 +83,20 @@
  * written their entries after the backup, and get as much time to write them again as
  * after an outage.
  */
-export function noteRise(list: BackendList, risenAt: number, now: number): BackendList {
+export function noteRise(
+  list: BackendList,
+  restoredAt: number,
+  now: number
+): BackendList {
   const known = restartGracePeriods(list, now)
-  return {...list, known, risenAt, troubleAt: now, backAt: now, withheld: new Map()}
+  return {
+    ...list,
+    known,
+    risenAt: restoredAt,
+    troubleAt: now,
+    backAt: now,
+    withheld: new Map()
+  }
 }
 
 /** Records a failed call to the store. Entries missing from now on may have lapsed. */
--- a/src/core/eras.ts
+++ b/src/core/eras.ts
@@ -76,6 +76,6 @@
 }
 
 /** Whether an entry may be a restored one of a server removed before `restoredAt`. */
-export function mayBeCopied(risenAt: number, now: number): boolean {
-  return now - risenAt < COPIED_ENTRY_MS
+export function mayBeCopied(restoredAt: number, now: number): boolean {
+  return now - restoredAt < COPIED_ENTRY_MS
 }
