--- a/src/core/backend-changes.ts
+++ b/src/core/backend-changes.ts
@@ -2,14 +2,17 @@
 import {type BackendList, indexServers, isUsable} from "./backend-list.js"
 
 /** An incarnation that ended, since its server started again. */
-export interface EndedLife {
+export interface EndedIncarnation {
   readonly id: string
   /** The incarnation that followed. */
   readonly next: string
 }
 
 /** Incarnations in `before` whose servers have another incarnation in `after`. */
-export function listEndedLives(before: BackendList, after: BackendList): EndedLife[] {
+export function listEndedLives(
+  before: BackendList,
+  after: BackendList
+): EndedIncarnation[] {
   if (before.known === after.known) return []
   const servers = indexServers(after)
   return [...before.known.values()].flatMap(({record}) => {
@@ -18,15 +21,15 @@
   })
 }
 
-export interface UsableChange {
+export interface UsabilityChange {
   readonly backend: string
   readonly usable: boolean
 }
 
 /** Backend servers whose usability differs between two lists. */
-export function diffUsable(before: BackendList, after: BackendList): UsableChange[] {
+export function diffUsable(before: BackendList, after: BackendList): UsabilityChange[] {
   if (before.known === after.known) return []
-  const changes: UsableChange[] = []
+  const changes: UsabilityChange[] = []
   for (const backend of after.known.keys()) {
     if (isUsable(after, backend) && !isUsable(before, backend)) {
       changes.push({backend, usable: true})
--- a/src/core/backend-list.ts
+++ b/src/core/backend-list.ts
@@ -39,15 +39,15 @@
 export interface BackendList {
   readonly known: ReadonlyMap<string, KnownBackend>
   /** When a call to the store last failed. -Infinity if never. */
-  readonly troubleAt: number
+  readonly storeFailedAt: number
   /** When the store first answered after that. Infinity while it has not. */
-  readonly backAt: number
+  readonly storeRecoveredAt: number
   /** Incarnations that announced that they leave. An older list can't undo this. */
   readonly leavingIds: ReadonlySet<string>
   /** Removed entries, with the time of the read that lacked them. */
   readonly gone: ReadonlyMap<string, number>
   /** Incarnations that a later one replaced. They never return, even with a backup. */
-  readonly ended: ReadonlySet<string>
+  readonly endedIncarnations: ReadonlySet<string>
   /** Upper bound of the time of the last restore from a backup. -Infinity if none. */
   readonly risenAt: number
   /**
@@ -62,11 +62,11 @@
 export function createBackendList(): BackendList {
   return {
     known: new Map(),
-    troubleAt: -Infinity,
-    backAt: -Infinity,
+    storeFailedAt: -Infinity,
+    storeRecoveredAt: -Infinity,
     leavingIds: new Set(),
     gone: new Map(),
-    ended: new Set(),
+    endedIncarnations: new Set(),
     risenAt: -Infinity,
     copiedUntil: -Infinity,
     withheld: new Map()
@@ -93,21 +93,21 @@
     ...list,
     known,
     risenAt: restoredAt,
-    troubleAt: now,
-    backAt: now,
+    storeFailedAt: now,
+    storeRecoveredAt: now,
     withheld: new Map()
   }
 }
 
 /** Records a failed call to the store. Entries missing from now on may have lapsed. */
 export function noteStoreTrouble(list: BackendList, now: number): BackendList {
-  return {...list, troubleAt: now, backAt: Infinity}
+  return {...list, storeFailedAt: now, storeRecoveredAt: Infinity}
 }
 
 /** Records that the store answers again. Missing entries get a new grace period. */
 export function noteStoreBack(list: BackendList, now: number): BackendList {
-  if (list.backAt !== Infinity) return list
-  return {...list, known: restartGracePeriods(list, now), backAt: now}
+  if (list.storeRecoveredAt !== Infinity) return list
+  return {...list, known: restartGracePeriods(list, now), storeRecoveredAt: now}
 }
 
 /** Gives all missing entries a new grace period. */
@@ -134,7 +134,7 @@
       ([, {goneAt}]) => goneAt === undefined || goneAt <= graceEndsAt
     )
   )
-  return {...list, known, troubleAt: -Infinity, backAt: -Infinity}
+  return {...list, known, storeFailedAt: -Infinity, storeRecoveredAt: -Infinity}
 }
 
 /**
@@ -193,13 +193,13 @@
     leavingIds,
     gone: removals,
     withheld,
-    ended: addEnded(list, ended)
+    endedIncarnations: addEnded(list, ended)
   }
 }
 
 /** Whether a later incarnation has replaced that of the record. */
 function isEnded(
-  {ended: endedIncarnations}: BackendList,
+  {endedIncarnations}: BackendList,
   previous: KnownBackend | undefined,
   record: BackendRecord
 ): boolean {
@@ -213,7 +213,7 @@
 }
 
 function addEnded(
-  {ended: endedIncarnations}: BackendList,
+  {endedIncarnations}: BackendList,
   ids: readonly string[]
 ): ReadonlySet<string> {
   return ids.length === 0
@@ -263,7 +263,7 @@
   now: number
 ): BackendList {
   const {server} = record
-  if (list.ended.has(record.id)) return list
+  if (list.endedIncarnations.has(record.id)) return list
   const isKnown = [...list.known.values()].some(each => each.record.server === server)
   if (isWithheld(list, record, isKnown, storeRead, now)) {
     return {...list, withheld: new Map(list.withheld).set(record.id, record)}
@@ -297,7 +297,7 @@
     leavingIds,
     gone: removals,
     withheld,
-    ended: addEnded(list, ended)
+    endedIncarnations: addEnded(list, ended)
   }
 }
 
@@ -383,8 +383,9 @@
   if (backend.goneAt !== undefined) return backend
   // The entry of a server that announced that it leaves did not lapse.
   if (backend.record.leaving) return undefined
-  if (list.backAt === Infinity) return {...backend, goneAt: Infinity}
-  const lapseGraceFrom = list.troubleAt < now - LAPSE_WINDOW_MS ? -Infinity : list.backAt
+  if (list.storeRecoveredAt === Infinity) return {...backend, goneAt: Infinity}
+  const lapseGraceFrom =
+    list.storeFailedAt < now - LAPSE_WINDOW_MS ? -Infinity : list.storeRecoveredAt
   const expiresAt = Math.max(lapseGraceFrom, list.risenAt) + RETURN_MS
   return expiresAt > now ? {...backend, goneAt: expiresAt} : undefined
 }
--- a/src/core/link-delay.ts
+++ b/src/core/link-delay.ts
@@ -15,10 +15,10 @@
 /** The least differences between receipt and sending on a link. */
 export interface LinkDelay {
   /** Start of the current window, by the receiver's clock. */
-  readonly since: number
-  readonly least: number
+  readonly windowStart: number
+  readonly minDifferenceMs: number
   /** The same for the previous window. Infinity if there was none. */
-  readonly leastBefore: number
+  readonly previousMinDifferenceMs: number
 }
 
 /**
@@ -27,7 +27,11 @@
  * transit time.
  */
 export function createLinkDelay(requestedAt: number, firstSentAt: number): LinkDelay {
-  return {since: requestedAt, least: requestedAt - firstSentAt, leastBefore: Infinity}
+  return {
+    windowStart: requestedAt,
+    minDifferenceMs: requestedAt - firstSentAt,
+    previousMinDifferenceMs: Infinity
+  }
 }
 
 export function noteMessage(
@@ -36,15 +40,19 @@
   receivedAt: number
 ): LinkDelay {
   const difference = receivedAt - sentAt
-  if (receivedAt - delay.since < WINDOW_MS) {
-    return {...delay, least: Math.min(delay.least, difference)}
+  if (receivedAt - delay.windowStart < WINDOW_MS) {
+    return {...delay, minDifferenceMs: Math.min(delay.minDifferenceMs, difference)}
+  }
+  return {
+    windowStart: receivedAt,
+    minDifferenceMs: difference,
+    previousMinDifferenceMs: delay.minDifferenceMs
   }
-  return {since: receivedAt, least: difference, leastBefore: delay.least}
 }
 
 /** Returns the transit time of a message in excess of the fastest recent one. */
 export function onWayMs(
-  {least: minDifferenceMs, leastBefore: previousMinDifferenceMs}: LinkDelay,
+  {minDifferenceMs, previousMinDifferenceMs}: LinkDelay,
   sentAt: number,
   receivedAt: number
 ): number {
--- a/src/core/news-age.ts
+++ b/src/core/news-age.ts
@@ -64,34 +64,34 @@
 }
 
 /** Lower bounds of the times of the store reads behind a box's snapshot, by its clock. */
-export interface NewsAge {
+export interface SnapshotAge {
   /** Read by this box, or by another at its request. */
   readonly readAt: number
   /** Read by its leader. */
   readonly leaderReadAt: number
 }
 
-export function createNewsAge(): NewsAge {
+export function createNewsAge(): SnapshotAge {
   return {readAt: -Infinity, leaderReadAt: -Infinity}
 }
 
 /** Records a read by this box or another at its request. Older reads change nothing. */
-export function noteReading(age: NewsAge, readAt: number): NewsAge {
+export function noteReading(age: SnapshotAge, readAt: number): SnapshotAge {
   return {...age, readAt: Math.max(age.readAt, readAt)}
 }
 
 /** Records a read by the leader. */
-export function noteLeaderReading(age: NewsAge, readAt: number): NewsAge {
+export function noteLeaderReading(age: SnapshotAge, readAt: number): SnapshotAge {
   return {...age, leaderReadAt: Math.max(age.leaderReadAt, readAt)}
 }
 
 /** Time since the newest read. Infinity if there was none. */
-export function newsAgeMs({readAt, leaderReadAt}: NewsAge, now: number): number {
+export function newsAgeMs({readAt, leaderReadAt}: SnapshotAge, now: number): number {
   return now - Math.max(readAt, leaderReadAt)
 }
 
 /** Whether the leader's snapshot is so fresh that this box need not read the store. */
-export function hearsOfLeader({leaderReadAt}: NewsAge, now: number): boolean {
+export function hearsOfLeader({leaderReadAt}: SnapshotAge, now: number): boolean {
   return now - leaderReadAt < OLDEST_MS
 }
 
--- a/src/core/placement-state.ts
+++ b/src/core/placement-state.ts
@@ -5,12 +5,12 @@
 import {createReadingRate, type ReadingRate, type ReadSpan} from "./reading-rate.js"
 import type {FleetIndex} from "./placement-index.js"
 
-export type PlacePhase = "loading" | "ready" | "unloading"
+export type SlotPhase = "loading" | "ready" | "unloading"
 
 /** An adapter in one of the few slots of an engine. */
 export interface Place {
   version: number
-  phase: PlacePhase
+  phase: SlotPhase
   /** When requests for the adapter may be sent to the engine. */
   readyAt: number
   orderedAt: number
@@ -120,7 +120,7 @@
 }
 
 /** A request on a box that waits for weights. */
-export interface Waiting {
+export interface WaitingRequest {
   readonly box: string
   readonly need: Need
   readonly since: number
@@ -198,7 +198,7 @@
   services: ReadonlyMap<string, FleetService>
   readonly engines: Map<string, FleetEngine>
   readonly versions: Map<string, number>
-  readonly waiting: Map<string, Waiting>
+  readonly waiting: Map<string, WaitingRequest>
   /** Use by box, then by engine and adapter. It is subtracted when the box is lost. */
   readonly uses: Map<string, Map<string, BoxUse>>
   /** Exponentially decayed request count of each adapter. */
--- a/src/core/server-notices.ts
+++ b/src/core/server-notices.ts
@@ -9,7 +9,7 @@
 import {type BoxServing, note} from "./box-state.js"
 
 /** Upper limit of the back-off that a server may request. */
-export const MAX_REST_MS = 300_000
+export const MAX_BACKOFF_MS = 300_000
 
 const MAX_REMEMBERED_SERVERS = 2_000
 
@@ -160,7 +160,7 @@
   requestedMs: number,
   now: number
 ): void {
-  const forMs = Math.min(MAX_REST_MS, requestedMs)
+  const forMs = Math.min(MAX_BACKOFF_MS, requestedMs)
   const endsAt = now + forMs
   // Responses may arrive out of order: the latest end applies.
   if (endsAt <= (box.rests.get(backend) ?? -Infinity)) return
