--- a/src/core/backend-changes.ts
+++ b/src/core/backend-changes.ts
@@ -1,15 +1,18 @@
-/** What differs between two lists of backend servers: lives that ended, and servers that requests may be sent to. */
+/** Compares two lists of backend servers: ended incarnations, and usability. */
 import {type BackendList, indexServers, isUsable} from "./backend-list.js"
 
-/** A life that is over, since its server started again. */
-export interface EndedLife {
+/** An incarnation that ended, since its server started again. */
+export interface EndedIncarnation {
   readonly id: string
-  /** The life that followed. */
+  /** The incarnation that followed. */
   readonly next: string
 }
 
-/** The lives of one list whose servers are in another life in the next. */
-export function listEndedLives(before: BackendList, after: BackendList): EndedLife[] {
+/** Incarnations in `before` whose servers have another incarnation in `after`. */
+export function listEndedLives(
+  before: BackendList,
+  after: BackendList
+): EndedIncarnation[] {
   if (before.known === after.known) return []
   const servers = indexServers(after)
   return [...before.known.values()].flatMap(({record}) => {
@@ -18,16 +21,15 @@
   })
 }
 
-/** Backend servers whose usability differs between two lists. */
-export interface UsableChange {
+export interface UsabilityChange {
   readonly backend: string
   readonly usable: boolean
 }
 
-/** What became usable or stopped being so from one list to the next. */
-export function diffUsable(before: BackendList, after: BackendList): UsableChange[] {
+/** Backend servers whose usability differs between two lists. */
+export function diffUsable(before: BackendList, after: BackendList): UsabilityChange[] {
   if (before.known === after.known) return []
-  const changes: UsableChange[] = []
+  const changes: UsabilityChange[] = []
   for (const backend of after.known.keys()) {
     if (isUsable(after, backend) && !isUsable(before, backend)) {
       changes.push({backend, usable: true})
