--- a/src/core/serving-events.ts
+++ b/src/core/serving-events.ts
@@ -1,4 +1,4 @@
-/** What can happen to a box, as leader too, and what follows from it. */
+/** Events and effects of a box, as a serving box and as the leader. */
 import type {
   EngineChange,
   EngineLoads,
@@ -23,7 +23,7 @@
 import type {LedgerEffect} from "./usage-ledger.js"
 import type {EngineReport, FleetEffect, OrderResult} from "./placement-state.js"
 
-/** What happens to the requests of a box, and what it hears of the world. */
+/** Events of the box's requests, and updates from other processes and the store. */
 export type ServingEvent =
   | {readonly type: "arrive"; readonly arrival: Arrival}
   | {readonly type: "started"; readonly id: string; readonly attempt: number}
@@ -47,35 +47,41 @@
   | {
       readonly type: "backends"
       readonly records: readonly BackendRecord[]
-      /** Servers whose entries cannot be read. */
+      /** Servers whose entries cannot be parsed. */
       readonly unreadable?: ReadonlySet<string>
       readonly reading: Reading
     }
   | {
       readonly type: "backend"
-      /** A life of a server, or a server for all its lives. */
+      /** An incarnation of a server, or a server with all its incarnations. */
       readonly id: string
-      /** Undefined: the entry is gone. */
+      /** Undefined if the entry was deleted. */
       readonly record: BackendRecord | "unreadable" | undefined
       readonly reading: Reading
     }
-  /** Neither this box nor another that it asked could read the store. */
+  /** Neither this box nor another one that it asked could read the store. */
   | {readonly type: "store-trouble"}
-  /** This box could not read the store, but others could. */
+  /** This box could not read the store, but other boxes could. */
   | {readonly type: "store-served"}
   | {readonly type: "store-back"}
-  /** At that time, by the clock of the box, the news of servers was as new as it can be had. */
+  /** The list of backend servers was the newest available at `at` (clock of the box). */
   | {
       readonly type: "news"
       readonly at: number
-      /** The store was read then; otherwise nobody could, and nothing newer is to be had. */
+      /**
+       * Whether the store was read; if not, nobody could read it and no newer list is
+       * available.
+       */
       readonly read: boolean
     }
-  /** The store was read then, or before, for the configuration that is in force here. */
+  /** The store was read at `at`, or later, for the configuration in force in this box. */
   | {readonly type: "config-read"; readonly at: number}
-  /** The era of the store as it is known now; `rose`: it is known from now on that it rose. */
+  /** The current era of the store. `restored` is true when a restore is first noticed. */
   | {readonly type: "era"; readonly known: KnownEra; readonly rose: boolean}
-  /** This box started after the store came back: entries that it reads may be the copy's until then. */
+  /**
+   * This box started after a restore of the store. Until `until` the entries that it
+   * reads may be restored ones.
+   */
   | {readonly type: "copied"; readonly until: number}
   | {readonly type: "engines"; readonly engines: readonly EngineNews[]}
   | {
@@ -89,51 +95,57 @@
       readonly versions: readonly (readonly [adapter: string, version: number])[]
     }
   | {readonly type: "refuse"; readonly request: string; readonly retryAfterMs: number}
-  /** The leader's answer whether a request may be sent once more. */
+  /** The leader's answer to a retry request. */
   | {readonly type: "may-retry"; readonly id: string; readonly allowed: boolean}
-  /** The leader's answer to an ask for allowances. */
+  /** The leader's answer to an allowance request. */
   | {
       readonly type: "allowances"
       readonly ask: number
       readonly grants: readonly AllowanceGrant[]
     }
   | {readonly type: "leader-new"}
-  /** What a server said of itself in an answer to this box. */
+  /** Notice from a server in an answer to this box. */
   | {
       readonly type: "server-says"
       readonly backend: string
       readonly notice: ServerNotice
-      /** When the request was sent that it answers; undefined: it answers an order or a question. */
+      /**
+       * When the answered request was sent. Undefined if the answer is to an order or a
+       * status request.
+       */
       readonly sentAt?: number
     }
-  /** What other boxes heard of the rates that servers take. */
+  /** Advertised rate limits that other boxes received. */
   | {
       readonly type: "rates"
       readonly news: readonly RateNews[]
       readonly source: "box" | "leader"
     }
-  /** The leader's answers to asks for sends to servers that named rates. */
+  /** The leader's answers to send requests to rate-limited servers. */
   | {readonly type: "send-grants"; readonly grants: readonly SendGrant[]}
-  /** What a new connection to a server showed; undefined: it neither came up nor was refused. */
+  /**
+   * Result of a test connection to a server. Undefined if it was neither established nor
+   * refused.
+   */
   | {
       readonly type: "probed"
       readonly backend: string
       readonly up: boolean | undefined
     }
-  /** What other boxes know of requests that crash servers. */
+  /** Updates from other processes about requests that crash servers. */
   | {
       readonly type: "crashes"
       readonly changes: CrashChanges
       readonly source: CrashSource
     }
   | {readonly type: "stop"}
-  /** In how long loads can be ordered, milliseconds, by the leader or by the next one. */
+  /** Load orders are possible after `inMs`, from the current leader or the next one. */
   | {readonly type: "orders"; readonly led: boolean; readonly inMs: number}
-  /** How many boxes there are. */
+  /** Number of boxes in the system. */
   | {readonly type: "boxes"; readonly boxes: number}
   | {readonly type: "tick"; readonly mayOrder: boolean}
 
-/** What happens to the fleet this box leads. */
+/** Events of the leader. */
 export type FleetEvent =
   | {readonly type: "lead"}
   | {readonly type: "lead-over"}
@@ -146,27 +158,32 @@
       readonly adapter: string
       readonly late: boolean
     }
-  /** A box has no repeat of its own left for a request. */
+  /** A box has used up its own retry budget and requests a retry. */
   | {
       readonly type: "ask-retry"
       readonly box: string
       readonly id: string
       readonly service: string
     }
-  /** What a box used of organisations' limits, and what it asks for. */
+  /** A box's usage of organisations' limits, and its allowance requests. */
   | {
       readonly type: "usage"
       readonly box: string
       readonly ask: number
       readonly entries: readonly AllowanceAsk[]
     }
-  /** What earlier leaders may have given of organisations' limits; undefined: nobody knows. */
+  /** The usage projection that earlier leaders stored. Undefined if it is not known. */
   | {readonly type: "usage-read"; readonly outlooks: UsageOutlooks | undefined}
-  /** The outlook is stored; false: it may not be. */
+  /**
+   * Result of storing the usage projection. If `ok` is false, it may or may not be
+   * stored.
+   */
   | {readonly type: "usage-saved"; readonly save: number; readonly ok: boolean}
-  /** This box gives the lead up: it gives no more allowances. */
+  /** This box is about to end its leadership and grants no more allowances. */
   | {readonly type: "usage-close"}
-  /** A box asks for sends to servers that named rates, and tells of those before. */
+  /**
+   * A box requests sends to rate-limited servers, and reports its sends before the limit.
+   */
   | {
       readonly type: "send-asks"
       readonly box: string
@@ -183,7 +200,7 @@
       readonly engine: string
       readonly report: EngineReport | undefined
     }
-  /** A server answered under the name of the engine that is not in the life that was asked. */
+  /** A server with the engine's name answered, but as a different incarnation. */
   | {readonly type: "life-over"; readonly engine: string}
   | {readonly type: "order-result"; readonly engine: string; readonly result: OrderResult}
 
--- a/src/core/serving-fleet.ts
+++ b/src/core/serving-fleet.ts
@@ -1,4 +1,4 @@
-/** What happens to the fleet of engines that a box leads. */
+/** Applies events to the state that a box holds as the leader of the engine fleet. */
 import {newestOf} from "./adapter-versions.js"
 import {viewOf} from "./box-places.js"
 import type {BoxServing} from "./box-state.js"
@@ -26,23 +26,23 @@
 import {RetryPool} from "./rate-windows.js"
 import type {FleetEvent} from "./serving-events.js"
 
-/** What a box leads or only serves with. */
+/** State of a box: for serving requests, and for leading if it is the leader. */
 export interface RoutedState {
   readonly serving: BoxServing
-  /** Only while this box leads. */
+  /** Defined only while this box is the leader. */
   fleet: Fleet | undefined
-  /** Repeats that this box gives out to others while it leads. */
+  /** Retries that this box, as the leader, grants to other boxes. */
   retries?: RetryPool
-  /** What organisations use, as this box counts it while it leads. */
+  /** Usage of organisations, tracked while this box is the leader. */
   ledger?: UsageLedger
   ledgerEffects?: LedgerEffect[]
-  /** What servers take that named rates, as this box shares it out while it leads. */
+  /** Distributes the capacity of rate-limited servers while this box is the leader. */
   pacer?: RatePacer
 }
 
-/** Takes an event of the fleet that this box leads, or that it begins or ends to lead. */
+/** Applies an event of the leader, or the start or end of this box's leadership. */
 export function takeFleet(state: RoutedState, event: FleetEvent, now: number): void {
-  if (event.type === "lead") return lead(state, now)
+  if (event.type === "lead") return startLeadership(state, now)
   if (event.type === "lead-over") {
     state.fleet = undefined
     state.serving.leads = false
@@ -103,7 +103,7 @@
   }
 }
 
-function lead(state: RoutedState, now: number): void {
+function startLeadership(state: RoutedState, now: number): void {
   state.fleet = createFleet(now)
   state.serving.leads = true
   state.retries = new RetryPool(
@@ -114,7 +114,7 @@
     takeFleetVersion(state.fleet, adapter, newestOf(named))
   }
   state.fleet.boxes = state.serving.boxes
-  openLedger(state)
+  createLedger(state)
   const {rates} = state.serving
   state.pacer = new RatePacer(server => rates.of(server))
   listEngines(state, now)
@@ -129,27 +129,29 @@
   }
 }
 
-function openLedger(state: RoutedState): void {
+function createLedger(state: RoutedState): void {
   const effects: LedgerEffect[] = []
   const {serving} = state
-  const limits = (): ReadonlyMap<string, number> => limitsOf(serving)
+  const limits = (): ReadonlyMap<string, number> => usageLimitsOf(serving)
   state.ledgerEffects = effects
-  state.ledger = new UsageLedger(usageOf(serving), limits, effect => effects.push(effect))
+  state.ledger = new UsageLedger(usageOptionsOf(serving), limits, effect =>
+    effects.push(effect)
+  )
   if (serving.table && serving.table.limited.size > 0) state.ledger.begin()
 }
 
-function usageOf({options}: BoxServing): UsageOptions {
+function usageOptionsOf({options}: BoxServing): UsageOptions {
   return options.usage ?? DEFAULT_USAGE
 }
 
-/** What each organisation that has a limit may use in any window. */
-function limitsOf(serving: BoxServing): Map<string, number> {
+/** Returns the usage allowed in any window, by organisation with a limit. */
+function usageLimitsOf(serving: BoxServing): Map<string, number> {
   const limits = [...(serving.table?.limited ?? [])]
-  const usage = usageOf(serving)
+  const usage = usageOptionsOf(serving)
   return new Map(limits.map(([name, limit]) => [name, limitIn(limit, usage)]))
 }
 
-/** Tells the fleet which engines there are. */
+/** Updates the leader's list of engines from the list of backend servers. */
 export function listEngines({fleet, serving}: RoutedState, now: number): void {
   const services = serving.table?.services
   if (!fleet || !services) return
--- a/src/core/serving.ts
+++ b/src/core/serving.ts
@@ -1,4 +1,4 @@
-/** The decisions of a routed box as one transition function: events in, effects out. */
+/** The transition function of a box: takes an event and the time, returns effects. */
 import {diffUsable, listEndedLives} from "./backend-changes.js"
 import {
   type BackendList,
@@ -46,12 +46,15 @@
   ServingEvent
 } from "./serving-events.js"
 
-/** Between ticks, milliseconds: while news for the leader's plan waits, while requests do, otherwise. */
+/**
+ * Tick intervals: while the leader has updates to plan, while requests wait, and
+ * otherwise.
+ */
 const PLAN_TICK_MS = 3
 const WAITING_TICK_MS = 20
 export const IDLE_TICK_MS = 100
 
-/** How long after a tick the next is due. */
+/** Returns the time from a tick to the next one. */
 export function nextTickMs({serving, fleet}: RoutedState): number {
   if (fleet && fleet.waiting.size > 0) {
     return fleet.unplanned ? PLAN_TICK_MS : WAITING_TICK_MS
@@ -63,8 +66,8 @@
 }
 
 /**
- * One transition; `now` is monotonic milliseconds, simulated or real, of which `suspendedMs` were no time in
- * which the process ran.
+ * Applies one event. `now` is monotonic time in milliseconds, real or simulated;
+ * `suspendedMs` is the part of it during which the process did not run.
  */
 export function stepRouted(
   state: RoutedState,
@@ -74,7 +77,7 @@
 ): {readonly state: RoutedState; readonly effects: readonly RoutedEffect[]} {
   const {serving} = state
   noteSuspended(state, suspendedMs)
-  takeServing(state, event as ServingEvent, now)
+  applyServingEvent(state, event as ServingEvent, now)
   takeFleet(state, event as FleetEvent, now)
   const effects = drainEffects(serving)
   if (!state.fleet) return {state, effects}
@@ -82,7 +85,7 @@
   return {state, effects: [...effects, ...drainFleet(state.fleet), ...ledgers]}
 }
 
-function takeServing(state: RoutedState, event: ServingEvent, now: number): void {
+function applyServingEvent(state: RoutedState, event: ServingEvent, now: number): void {
   const {serving} = state
   switch (event.type) {
     case "arrive":
@@ -122,14 +125,14 @@
     case "server-says": {
       const {backend, notice, sentAt} = event
       if (takeNotice(serving, backend, notice, sentAt, now)) listEngines(state, now)
-      return keepNotices(state, backend)
+      return copyServerLimits(state, backend)
     }
     case "rates":
       takeRateNews(serving, event.news, event.source, now)
-      for (const {server} of event.news) keepNotices(state, server)
+      for (const {server} of event.news) copyServerLimits(state, server)
       return
     case "send-grants":
-      return takeGrants(serving, event.grants, now)
+      return applySendGrants(serving, event.grants, now)
     case "probed":
       takeProbe(serving, event.backend, event.up, now)
       return tickRequests(serving, now)
@@ -141,19 +144,25 @@
     case "tick":
       return tick(state, event.mayOrder, now)
     default:
-      return takeBelief(state, event, now)
+      return applySystemUpdate(state, event, now)
   }
 }
 
-/** What servers say of themselves to any box concerns the leader's orders, too. */
-function keepNotices({fleet, serving}: RoutedState, backend: string): void {
+/**
+ * Copies a server's back-off and advertised rate limit to the leader's plan, since load
+ * orders must respect them, too.
+ */
+function copyServerLimits({fleet, serving}: RoutedState, backend: string): void {
   if (!fleet) return
   keepRest(fleet, backend, serving.rests)
   keepRate(fleet, backend, serving.rates.of(backend))
 }
 
-/** The leader's answers to asks for sends: those that wait go on, the most urgent first. */
-function takeGrants(
+/**
+ * Applies the leader's answers to send requests. Waiting requests are sent in order of
+ * urgency.
+ */
+function applySendGrants(
   serving: BoxServing,
   grants: readonly SendGrant[],
   now: number
@@ -163,17 +172,20 @@
   for (const request of listPaced(serving)) advance(serving, request, now)
 }
 
-/** What changes the belief of a box in the world; requests are looked at anew. */
-function takeBelief(state: RoutedState, event: ServingEvent, now: number): void {
+/**
+ * Applies an update of the box's view of the system. Waiting requests are evaluated
+ * again.
+ */
+function applySystemUpdate(state: RoutedState, event: ServingEvent, now: number): void {
   const {serving} = state
   switch (event.type) {
     case "config":
-      // A version never goes down within a process.
+      // The configuration version never decreases within a process.
       if ((serving.table?.config.version ?? -1) >= event.config.version) return
       serving.table = buildRouteTable(event.config)
       return listEngines(state, now)
     case "backends":
-      believe(
+      replaceBackends(
         state,
         takeBackends(
           serving.backends,
@@ -187,7 +199,7 @@
       )
       return tickRequests(serving, now)
     case "backend":
-      return believe(
+      return replaceBackends(
         state,
         takeBackend(serving.backends, event.id, event.record, event.reading, now),
         event.reading.source,
@@ -197,7 +209,7 @@
       serving.backends = noteStoreTrouble(serving.backends, now)
       return
     case "store-served":
-      return believe(state, noteStoreServed(serving.backends), "expiry", now)
+      return replaceBackends(state, noteStoreServed(serving.backends), "expiry", now)
     case "store-back":
       serving.backends = noteStoreBack(serving.backends, now)
       return
@@ -207,10 +219,10 @@
     case "config-read":
       return noteConfigRead(serving, event.at)
     case "era":
-      return takeEraNews(state, event.known, event.rose, now)
+      return applyEra(state, event.known, event.rose, now)
     case "copied":
       serving.backends = noteCopy(serving.backends, event.until)
-      // As far as this box can tell, the store has just come back.
+      // This box does not know when the store was restored, so it assumes now.
       if (serving.era) noteEra(serving, {...serving.era, by: now, risen: true}, true)
       return
     case "engines":
@@ -239,15 +251,18 @@
   }
 }
 
-/** What a box knows stays in force as the store comes back from an older copy: none of it goes back. */
-function takeEraNews(
+/**
+ * Records the era of the store. After a restore from an older backup the box keeps its
+ * own newer state.
+ */
+function applyEra(
   {serving, ledger}: RoutedState,
   known: KnownEra,
-  rose: boolean,
+  restored: boolean,
   now: number
 ): void {
-  noteEra(serving, known, rose)
-  if (!rose) return
+  noteEra(serving, known, restored)
+  if (!restored) return
   ledger?.forgetStored()
   serving.backends = noteRise(serving.backends, known.by, now)
   if (serving.readBeforeEra === undefined) {
@@ -263,8 +278,8 @@
   })
 }
 
-/** Takes a new list of backend servers, and tells in the log what changed for requests. */
-function believe(
+/** Replaces the list of backend servers and logs the changes that affect requests. */
+function replaceBackends(
   state: RoutedState,
   after: BackendList,
   source: Reading["source"] | "expiry",
@@ -289,9 +304,9 @@
   const before = serving.backends
   const after = expireBackends(before, now)
   if (after !== before) {
-    believe(state, after, "expiry", now)
-    forgetEngines(serving)
-    forgetServers(serving)
+    replaceBackends(state, after, "expiry", now)
+    removeGoneEngines(serving)
+    removeGoneServers(serving)
   }
   tickCrashes(serving, now)
   tickRequests(serving, now)
@@ -300,14 +315,12 @@
   state.pacer?.forget()
 }
 
-/** Views of engines that are gone. */
-function forgetEngines({engines, held, backends}: BoxServing): void {
+function removeGoneEngines({engines, held, backends}: BoxServing): void {
   for (const id of engines.keys()) if (!backends.known.has(id)) engines.delete(id)
   for (const id of held.keys()) if (!backends.known.has(id)) held.delete(id)
 }
 
-/** What was said by and sent to servers that are gone. */
-function forgetServers({rates, allowances, recentSends, backends}: BoxServing): void {
+function removeGoneServers({rates, allowances, recentSends, backends}: BoxServing): void {
   for (const server of rates.list()) {
     if (backends.known.has(server)) continue
     rates.forget(server)
