--- a/src/core/counted-usage.ts
+++ b/src/core/counted-usage.ts
@@ -1,13 +1,15 @@
-/** Usage that counts until certain times, and how much of it will still count later. */
+/** Usage with expiry times, and a projection of how much of it still counts later. */
 
-/** Times are rounded up to whole ticks, milliseconds: an amount never counts for less than it has to. */
+/**
+ * Expiry times are rounded up to whole ticks, so that usage never counts for too short.
+ */
 const TICK_MS = 500
 
-/** Between two steps of an outlook, milliseconds. */
+/** Step of a usage projection. */
 export const STEP_MS = 1_000
 
 export class CountedUsage {
-  /** Amounts by the tick in which they end. */
+  /** Amounts by the tick of their expiry. */
   private readonly ends_ = new Map<number, number>()
 
   add(amount: number, endsAt: number): void {
@@ -15,7 +17,7 @@
     this.ends_.set(tick, (this.ends_.get(tick) ?? 0) + amount)
   }
 
-  /** Takes an amount off that was added with this end. */
+  /** Removes an amount that was added with this expiry. */
   remove(amount: number, endsAt: number): void {
     const tick = Math.ceil(endsAt / TICK_MS)
     const left = (this.ends_.get(tick) ?? 0) - amount
@@ -23,7 +25,7 @@
     else this.ends_.delete(tick)
   }
 
-  /** What counts at this time. */
+  /** Returns the usage that counts at this time. */
   total(now: number): number {
     let sum = 0
     for (const [tick, amount] of this.ends_) {
@@ -33,7 +35,9 @@
     return sum
   }
 
-  /** What counts now, one step later, and so on; each is at most the one before. */
+  /**
+   * Returns the usage that counts now, one step later, and so on, in descending order.
+   */
   outlook(now: number, steps: number): number[] {
     return Array.from({length: steps}, (_, step) => {
       let sum = 0
@@ -43,7 +47,7 @@
     })
   }
 
-  /** In how long no more than `most` counts, milliseconds, if nothing is added. */
+  /** Returns the time until at most `most` counts, if nothing is added. */
   timeUntil(most: number, now: number): number {
     let left = this.total(now)
     const ends = [...this.ends_].sort(([a], [b]) => a - b)
--- a/src/core/usage-limits.ts
+++ b/src/core/usage-limits.ts
@@ -1,49 +1,51 @@
 /**
- * What an organisation may use, over all boxes together, and the times that the count rests on.
+ * Limits of organisations' usage over all boxes, and the times that the count depends on.
  *
- * In every window W no more than L may be used. The leader gives boxes allowances out of L; a box uses
- * one within `ALLOWANCE_MS` of asking for it, and what it charges reaches a backend server within
- * `CHARGE_MS`. An allowance counts from when it is given until W and `CHARGE_MS` after its last use, or
- * after the end of its time where its use is not told. Let a window begin at x, and g be the last allowance
- * of those used in it: it was given before x + W. Whatever else was used in the window counted as g was
- * given, since it reached a server at x or later. The leader gave g only where all that counted was at
- * most L with it. So no more than L is used in the window, whoever was cut off, paused or killed.
+ * In every window of length W at most L may be used. The leader grants boxes allowances
+ * out of L. A box uses an allowance within `ALLOWANCE_LIFETIME_MS` of requesting it, and
+ * what it charges reaches a backend server within `CHARGE_TIMEOUT_MS`. An allowance
+ * counts from its grant until W and `CHARGE_TIMEOUT_MS` after its last use, or after its
+ * expiry if its use is not reported.
+ *
+ * Proof: let a window begin at x, and let g be the last granted of the allowances used in
+ * it. It was granted before x + W. All other usage in the window reached a server at x or
+ * later, so it counted when g was granted. The leader granted g only if everything that
+ * counted, including g, was at most L. So at most L is used in the window, whichever
+ * processes were disconnected, paused or killed.
  */
 import type {UsageLimit} from "../types/organisations.js"
 
-/** How usage is counted, over all boxes. */
 export interface UsageOptions {
   readonly windowMs: number
-  /** Beyond the limit, as a part of it. */
+  /** Allowed beyond the limit, as a share of it. */
   readonly overage: number
-  /** Beyond the limit, in the limit's unit. */
+  /** Allowed beyond the limit, in the limit's unit. */
   readonly slack: number
 }
 
-/** Where nobody says how usage is counted. */
 export const DEFAULT_USAGE: UsageOptions = {windowMs: 10_000, overage: 0, slack: 0}
 
-/** A box may use an allowance for so long after it asked for it, milliseconds. */
+/** Time from the request of an allowance until its last use. */
 export const ALLOWANCE_MS = 4_000
 
-/** A charge that has not left the box by then is taken back, milliseconds. */
+/** A charge is refunded if its request has not left the box by then. */
 export const CHARGE_MS = 900
 
-/** From a box to a backend server, with clocks that run apart, milliseconds. */
-const WAY_MS = 100
+/** Longest delay from a box to a backend server, and drift between their clocks. */
+const DELIVERY_MS = 100
 
-/** All that may be used in any window. */
+/** Returns the usage allowed in any window. */
 export function limitIn({perSecond, burst}: UsageLimit, options: UsageOptions): number {
   const {windowMs, overage, slack} = options
   return ((perSecond * windowMs) / 1_000 + burst) * (1 + overage) + slack
 }
 
-/** How long a use counts, milliseconds. */
+/** Returns how long usage counts. */
 export function countedMs({windowMs}: UsageOptions): number {
-  return windowMs + CHARGE_MS + WAY_MS
+  return windowMs + CHARGE_MS + DELIVERY_MS
 }
 
-/** What one request uses; `usage`: the tokens that its caller tells. */
+/** Returns what one request uses. `usage` is the token count that its caller declares. */
 export function costOf(
   {unit, plainTokens}: UsageLimit,
   usage: number | undefined
--- a/src/core/usage-stock.ts
+++ b/src/core/usage-stock.ts
@@ -1,30 +1,41 @@
-/** Allowances that a box holds of organisations' limits, and what it has to tell its leader of them. */
+/**
+ * The allowance pool of a box: allowances that it holds of organisations' limits, and
+ * what it still has to report to its leader.
+ */
 import type {AllowanceAsk, AllowanceGrant} from "../types/usage-messages.js"
 import {ALLOWANCE_MS} from "./usage-limits.js"
 
-/** A box asks for what it uses in this time, and again when half of that is left, milliseconds. */
-const STOCK_MS = 2_000
+/**
+ * The pool is filled for the demand of this time, and again when half of that is left.
+ */
+const POOL_MS = 2_000
 
-/** The time over which use is averaged, milliseconds. */
-const DEMAND_MS = 2_000
+/** Time constant of the demand average. */
+const DEMAND_AVERAGE_MS = 2_000
 
-/** What is used within this time is told together, and stock asked for, milliseconds. */
-const TELL_MS = 600
+/** Interval of regular reports; usage and requests within it share a message. */
+const REPORT_INTERVAL_MS = 600
 
-/** An allowance with less time left counts for nothing in stock, milliseconds. */
-const SHORT_MS = 300
+/**
+ * An allowance with less time left does not count as available when the pool is filled.
+ */
+const MIN_REMAINING_MS = 300
 
 /**
- * A box has one ask without an answer at a time, whatever comes meanwhile: a leader that is late is asked
- * less, and not more. It is asked again after this, each time after twice as long, milliseconds.
+ * First and longest time until an unanswered request is sent again; it doubles each time.
+ * A box has only one unanswered request, so that a slow leader gets fewer messages, not
+ * more.
  */
-const ASK_AGAIN_MS = 250
-const MAX_ASK_AGAIN_MS = 2_000
+const RETRY_MS = 250
+const MAX_RETRY_MS = 2_000
 
 interface Portion {
   left: number
   readonly until: number
-  /** Counts the leaders that the box had: only the one that gave it is told of its use. */
+  /**
+   * Number of the leader that granted it, counted by this box. Usage is reported to that
+   * leader only.
+   */
   readonly term: number
 }
 
@@ -32,34 +43,34 @@
   portions: Portion[]
   used: number
   returned: number
-  /** There is no room for more before. */
+  /** The limit has no room before then. */
   fullUntil: number
-  /** Used a millisecond, lately. */
-  rate: number
-  ratedAt: number
+  /** Average usage per millisecond. */
+  usagePerMs: number
+  averagedAt: number
 }
 
-/** What one send has used, to be given back if it does not run. */
+/** Allowances that one send used. They are refunded if the request is not executed. */
 export interface Charge {
   readonly organisation: string
   readonly at: number
   readonly parts: readonly {readonly portion: Portion; readonly amount: number}[]
 }
 
-/** What requests of an organisation wait for. */
+/** Demand of an organisation's waiting requests. */
 export interface UsageNeed {
   readonly need: number
-  /** Kept in stock for plain requests, whatever was used lately. */
+  /** Minimum amount kept in the pool for plain requests, independent of recent usage. */
   readonly least: number
 }
 
-interface Wish {
+interface WantedAmounts {
   readonly need: number
   readonly want: number
 }
 
-/** An ask that is not answered yet. */
-interface OpenAsk {
+/** Request that has no answer yet. */
+interface OpenRequest {
   readonly at: number
   readonly term: number
 }
@@ -67,21 +78,21 @@
 export class UsageStock {
   private readonly holdings_ = new Map<string, Holding>()
   private term_ = 0
-  private asks_ = 0
-  private toldAt_ = -Infinity
-  /** Asks whose answers may still come. */
-  private readonly open_ = new Map<number, OpenAsk>()
-  /** The last of them has no answer. */
-  private waits_ = false
-  private lastAsk_ = 0
-  private askAgainAt_ = -Infinity
-  private askAgainMs_ = ASK_AGAIN_MS
-
-  /** Uses an amount if all of it is there. */
+  private requestCount_ = 0
+  private reportedAt_ = -Infinity
+  /** Requests that may still be answered. */
+  private readonly openRequests_ = new Map<number, OpenRequest>()
+  /** The latest request has no answer yet. */
+  private awaitsAnswer_ = false
+  private lastRequest_ = 0
+  private retryAt_ = -Infinity
+  private retryMs_ = RETRY_MS
+
+  /** Uses an amount. Returns undefined, and uses nothing, if the pool holds less. */
   charge(organisation: string, amount: number, now: number): Charge | undefined {
-    const holding = this.open(organisation, now)
+    const holding = this.holdingOf(organisation, now)
     this.expire(holding, now)
-    if (stockOf(holding, now) < amount) return undefined
+    if (availableAt(holding, now) < amount) return undefined
     const parts: {portion: Portion; amount: number}[] = []
     let left = amount
     for (const portion of holding.portions) {
@@ -92,88 +103,100 @@
       if (portion.term === this.term_) holding.used += part
       parts.push({portion, amount: part})
     }
-    this.rate(holding, amount, now)
+    this.updateRate(holding, amount, now)
     return {organisation, at: now, parts}
   }
 
-  /** What was charged did not run. What was told as used stays so: the leader counts it no longer as held. */
+  /**
+   * Refunds a charge whose request was not executed. What was reported as used stays
+   * used, since the leader no longer counts it as held by this box.
+   */
   giveBack({organisation, parts}: Charge): void {
     const holding = this.holdings_.get(organisation)
     if (!holding) return
     for (const {portion, amount} of parts) {
-      const untold = portion.term === this.term_ ? Math.min(amount, holding.used) : amount
-      if (portion.term === this.term_) holding.used -= untold
-      portion.left += untold
-      // One whose time is over goes, and is told as given back, as all others.
+      const unreported =
+        portion.term === this.term_ ? Math.min(amount, holding.used) : amount
+      if (portion.term === this.term_) holding.used -= unreported
+      portion.left += unreported
+      // An expired portion is removed and reported as returned by the usual expiry.
       if (!holding.portions.includes(portion)) holding.portions.push(portion)
     }
   }
 
-  /** Whether so much can be used now. */
   holds(organisation: string, amount: number, now: number): boolean {
     const holding = this.holdings_.get(organisation)
-    return holding !== undefined && stockOf(holding, now) >= amount
+    return holding !== undefined && availableAt(holding, now) >= amount
   }
 
-  /** In how long there may be room again, milliseconds; 0: there may be now. */
+  /** Returns the time until the limit may have room again; 0 if it may have room now. */
   fullForMs(organisation: string, now: number): number {
     return Math.max(0, (this.holdings_.get(organisation)?.fullUntil ?? 0) - now)
   }
 
-  /** Another box leads, or this one: nobody is told of what the last one gave. */
+  /**
+   * Handles a change of leader. The allowances of the last leader are not reported to the
+   * next.
+   */
   beginTerm(): void {
     this.term_++
     for (const holding of this.holdings_.values()) {
       Object.assign(holding, {used: 0, returned: 0})
     }
-    this.waits_ = false
-    this.askAgainMs_ = ASK_AGAIN_MS
+    this.awaitsAnswer_ = false
+    this.retryMs_ = RETRY_MS
   }
 
-  /** What is to be told and asked now; undefined: nothing. */
+  /** Returns the report and requests to send now, or undefined if there are none. */
   collect(
     needs: ReadonlyMap<string, UsageNeed>,
     now: number
   ): {readonly ask: number; readonly entries: readonly AllowanceAsk[]} | undefined {
-    if (this.waits_ && now < this.askAgainAt_) return undefined
-    for (const organisation of needs.keys()) this.open(organisation, now)
-    const regular = now - this.toldAt_ >= TELL_MS
-    const wishes = [...this.holdings_].map(([organisation, holding]) => {
+    if (this.awaitsAnswer_ && now < this.retryAt_) return undefined
+    for (const organisation of needs.keys()) this.holdingOf(organisation, now)
+    const isReportDue = now - this.reportedAt_ >= REPORT_INTERVAL_MS
+    const wanted = [...this.holdings_].map(([organisation, holding]) => {
       this.expire(holding, now)
-      const wish = this.wish(holding, needs.get(organisation), regular, now)
-      return {organisation, holding, ...wish}
+      const amounts = this.wantedAmounts(
+        holding,
+        needs.get(organisation),
+        isReportDue,
+        now
+      )
+      return {organisation, holding, ...amounts}
     })
-    // Each message costs the leader more than what stands in it.
-    if (!regular && !wishes.some(({need}) => need > 0)) return undefined
-    this.toldAt_ = now
-    const entries = wishes.flatMap(each => this.entryFor(each))
+    // A message costs the leader more than an entry in it, so entries are batched.
+    if (!isReportDue && !wanted.some(({need}) => need > 0)) return undefined
+    this.reportedAt_ = now
+    const entries = wanted.flatMap(each => this.takeEntry(each))
     if (entries.length === 0) return undefined
-    const ask = ++this.asks_
-    if (entries.some(({want}) => want > 0)) this.noteAsk(ask, now)
+    const ask = ++this.requestCount_
+    if (entries.some(({want}) => want > 0)) this.recordRequest(ask, now)
     return {ask, entries}
   }
 
-  private noteAsk(ask: number, now: number): void {
-    if (this.waits_) this.askAgainMs_ = Math.min(MAX_ASK_AGAIN_MS, 2 * this.askAgainMs_)
-    this.waits_ = true
-    this.lastAsk_ = ask
-    this.askAgainAt_ = now + this.askAgainMs_
-    this.open_.set(ask, {at: now, term: this.term_})
-    for (const [old, {at}] of this.open_) {
-      if (now - at > ALLOWANCE_MS) this.open_.delete(old)
+  private recordRequest(ask: number, now: number): void {
+    if (this.awaitsAnswer_) this.retryMs_ = Math.min(MAX_RETRY_MS, 2 * this.retryMs_)
+    this.awaitsAnswer_ = true
+    this.lastRequest_ = ask
+    this.retryAt_ = now + this.retryMs_
+    this.openRequests_.set(ask, {at: now, term: this.term_})
+    for (const [old, {at}] of this.openRequests_) {
+      if (now - at > ALLOWANCE_MS) this.openRequests_.delete(old)
     }
   }
 
-  /** Takes the leader's answer. */
+  /** Handles the leader's answer. */
   take(ask: number, grants: readonly AllowanceGrant[], now: number): void {
-    const asked = this.open_.get(ask)
-    if (ask === this.lastAsk_) this.waits_ = false
-    this.askAgainMs_ = ASK_AGAIN_MS
+    const asked = this.openRequests_.get(ask)
+    if (ask === this.lastRequest_) this.awaitsAnswer_ = false
+    this.retryMs_ = RETRY_MS
     for (const {organisation, amount, roomInMs} of grants) {
-      const holding = this.open(organisation, now)
+      const holding = this.holdingOf(organisation, now)
       if (roomInMs !== undefined) holding.fullUntil = now + roomInMs
       if (!asked || amount <= 0) continue
-      // By the box's clock from its ask on, which is earlier than the leader's count of it.
+      // Counted from the request on (the box's clock), so it ends before the leader's
+      // count does.
       holding.portions.push({
         left: amount,
         until: asked.at + ALLOWANCE_MS,
@@ -182,35 +205,36 @@
     }
   }
 
-  private entryFor({
+  private takeEntry({
     organisation,
     holding,
     need,
     want
-  }: Wish & {organisation: string; holding: Holding}): AllowanceAsk[] {
+  }: WantedAmounts & {organisation: string; holding: Holding}): AllowanceAsk[] {
     const {used, returned} = holding
     if (want === 0 && used + returned === 0) return []
     Object.assign(holding, {used: 0, returned: 0})
     return [{organisation, used, returned, need, want}]
   }
 
-  private wish(
+  private wantedAmounts(
     holding: Holding,
-    {need: waits, least}: UsageNeed = {need: 0, least: 0},
-    regular: boolean,
+    {need: waitingNeed, least}: UsageNeed = {need: 0, least: 0},
+    isReportDue: boolean,
     now: number
-  ): Wish {
+  ): WantedAmounts {
     const none = {need: 0, want: 0}
     if (holding.fullUntil > now) return none
-    const stock = stockOf(holding, now + SHORT_MS)
-    const need = waits > 0 ? Math.max(0, waits - stockOf(holding, now)) : 0
-    const target = Math.max(least, this.rate(holding, 0, now) * STOCK_MS)
-    const low = stock < target / 2
-    if (need === 0 && (!low || !regular)) return none
-    return {need, want: Math.ceil(Math.max(need, need + target - stock))}
+    const available = availableAt(holding, now + MIN_REMAINING_MS)
+    const need =
+      waitingNeed > 0 ? Math.max(0, waitingNeed - availableAt(holding, now)) : 0
+    const target = Math.max(least, this.updateRate(holding, 0, now) * POOL_MS)
+    const isLow = available < target / 2
+    if (need === 0 && (!isLow || !isReportDue)) return none
+    return {need, want: Math.ceil(Math.max(need, need + target - available))}
   }
 
-  private open(organisation: string, now: number): Holding {
+  private holdingOf(organisation: string, now: number): Holding {
     const known = this.holdings_.get(organisation)
     if (known) return known
     const holding: Holding = {
@@ -218,8 +242,8 @@
       used: 0,
       returned: 0,
       fullUntil: -Infinity,
-      rate: 0,
-      ratedAt: now
+      usagePerMs: 0,
+      averagedAt: now
     }
     this.holdings_.set(organisation, holding)
     return holding
@@ -234,16 +258,18 @@
     holding.portions = portions.filter(({until}) => until > now)
   }
 
-  /** Notes what was used, and returns the rate. */
-  private rate(holding: Holding, used: number, now: number): number {
-    const passed = now - holding.ratedAt
-    holding.rate = holding.rate * Math.exp(-passed / DEMAND_MS) + used / DEMAND_MS
-    holding.ratedAt = now
-    return holding.rate
+  /** Records usage and returns the current average per millisecond. */
+  private updateRate(holding: Holding, used: number, now: number): number {
+    const passed = now - holding.averagedAt
+    holding.usagePerMs =
+      holding.usagePerMs * Math.exp(-passed / DEMAND_AVERAGE_MS) +
+      used / DEMAND_AVERAGE_MS
+    holding.averagedAt = now
+    return holding.usagePerMs
   }
 }
 
-/** What is there at that time. */
-function stockOf({portions}: Holding, now: number): number {
+/** Returns the amount that is available at that time. */
+function availableAt({portions}: Holding, now: number): number {
   return portions.reduce((sum, {left, until}) => (until > now ? sum + left : sum), 0)
 }
