--- a/src/core/rate-pacer.ts
+++ b/src/core/rate-pacer.ts
@@ -1,105 +1,122 @@
 /**
- * The leader shares out what backend servers take that named a rate: each send of a box needs an allowance.
+ * Distributes the capacity of rate-limited servers: each send of a box needs an allowance
+ * of the leader.
  *
- * A token bucket for each server fills a little below its rate, so that allowances that are used late stay within
- * the rate too. What boxes sent before they knew of the rate counts as well. A leader begins with an empty bucket:
- * the one before it gave no more than the rate, so that nothing has to be handed over.
+ * Each server has a token bucket that fills slightly below its rate, so that allowances
+ * that are used late stay within the rate, too. What boxes sent before they learned of
+ * the rate also counts. A new leader starts with empty buckets. Since the leader before
+ * it granted no more than the rate, no state has to be handed over.
  */
 import type {SendAsk, SendGrant, SentLately} from "../types/rate-messages.js"
 import {SENT_STEP_MS, SPAN_MS} from "./recent-sends.js"
 import {USE_MS} from "./send-allowances.js"
 
-/** Of the rate, the part that is given out; the time over which it may be saved up, seconds, and how much at least. */
-const GIVEN_SHARE = 0.92
-const SAVED_S = 0.14
-const LEAST_SAVED = 2
+/**
+ * Granted share of the rate; the bucket size, in seconds of the rate, and its minimum.
+ */
+const GRANTED_SHARE = 0.92
+const BUCKET_S = 0.14
+const MIN_BUCKET = 2
 
-/** A server that takes less is sent a request as often as this all the same: its answer ends the rate. */
-const LEAST_PER_SECOND = 0.1
+/**
+ * Lowest rate that is applied. A server with a lower one still gets requests, since only
+ * an answer can end its rate limit.
+ */
+const MIN_PER_SECOND = 0.1
 
-/** Boxes that are told to come back for one allowance: some have nothing to send by then. */
-const BOXES_A_TURN = 20
+/**
+ * Refused boxes that may come back for the same allowance, since some of them have
+ * nothing to send by then.
+ */
+const BOXES_PER_ALLOWANCE = 20
 
-/** No box is told to wait for longer, milliseconds. */
-const MAX_ROOM_MS = 5_000
+/** Longest wait that a refused box is told. */
+const MAX_WAIT_MS = 5_000
 
-/** Allowances and sends are counted together in steps of this length, milliseconds. */
-const STEP_MS = 100
+/** Allowances and sends within this time share an entry of the history. */
+const HISTORY_STEP_MS = 100
 
-/** An allowance that is used late, and counted with one a step before, still counts for a span after its use. */
-const COUNTED_MS = SPAN_MS + USE_MS + STEP_MS
+/**
+ * Retention of a history entry: a rate window after the last use of its allowances, which
+ * can be granted up to a step after the entry's time.
+ */
+const HISTORY_MS = SPAN_MS + USE_MS + HISTORY_STEP_MS
 
-/** Requests of this rank and beyond are given nothing in advance: what comes belongs to more urgent ones. */
-const RANKS = 10
+/**
+ * Requests of this rank or a higher one get nothing in advance. Future capacity goes to
+ * more urgent ones.
+ */
+const ADVANCE_RANKS = 10
 
 interface Bucket {
-  /** Below 0: as many were given in advance. */
+  /** Negative if allowances were granted in advance. */
   tokens: number
   filledAt: number
-  /** What reached the server, or may, within the last span; oldest first. */
-  counted: {at: number; count: number}[]
-  /** Boxes that got nothing since the last allowance was given. */
+  /** History of sends and usable allowances within the last rate window, oldest first. */
+  history: {at: number; count: number}[]
+  /** Boxes that were refused since the last grant. */
   readonly refused: Set<string>
 }
 
 export class RatePacer {
-  /** Allowances given and not given since this box leads. */
+  /** Granted and refused allowances since this box became the leader. */
   given = 0
   refused = 0
   private readonly buckets_ = new Map<string, Bucket>()
 
-  /** `rateOf`: requests a second that a server takes; undefined: it names no rate. */
+  /**
+   * `rateOf_` returns the rate (requests per second) that a server advertises, if any.
+   */
   constructor(private readonly rateOf_: (server: string) => number | undefined) {}
 
-  /** Answers the ask of a box. */
+  /** Answers a request of a box. */
   ask(box: string, {server, ask, count, rank, waitMs}: SendAsk, now: number): SendGrant {
-    const named = this.rateOf_(server)
-    if (named === undefined) return {server, ask, count}
-    const perSecond = Math.max(LEAST_PER_SECOND, named)
+    const advertised = this.rateOf_(server)
+    if (advertised === undefined) return {server, ask, count}
+    const perSecond = Math.max(MIN_PER_SECOND, advertised)
     const bucket = this.fill(server, perSecond, now)
     const tokens = Math.floor(bucket.tokens)
     const amount = Math.max(0, Math.min(count, tokens, this.room(bucket, perSecond)))
-    if (amount > 0) this.give(bucket, amount, now)
+    if (amount > 0) this.grant(bucket, amount, now)
     if (amount === count) return {server, ask, count}
-    const roomInMs = this.roomIn(bucket, perSecond, now)
+    const roomInMs = this.msUntilRoom(bucket, perSecond, now)
     if (amount > 0) return {server, ask, count: amount, roomInMs}
-    if (roomInMs <= waitMs * (1 - rank / RANKS)) {
-      this.give(bucket, 1, now + roomInMs)
+    if (roomInMs <= waitMs * (1 - rank / ADVANCE_RANKS)) {
+      this.grant(bucket, 1, now + roomInMs)
       return {server, ask, count: 1, inMs: roomInMs, roomInMs}
     }
     this.refused++
     bucket.refused.add(box)
-    const turns = bucket.refused.size / BOXES_A_TURN
-    const turnMs = 1_000 / (GIVEN_SHARE * perSecond)
-    const later = Math.min(MAX_ROOM_MS, Math.max(roomInMs, turns * turnMs))
-    return {server, ask, count: 0, roomInMs: Math.round(later)}
+    const intervals = bucket.refused.size / BOXES_PER_ALLOWANCE
+    const intervalMs = 1_000 / (GRANTED_SHARE * perSecond)
+    const retryInMs = Math.min(MAX_WAIT_MS, Math.max(roomInMs, intervals * intervalMs))
+    return {server, ask, count: 0, roomInMs: Math.round(retryInMs)}
   }
 
-  /** Counts what a box sent to a server before it was bound by the rate. */
+  /** Counts what a box sent to a server before it learned of the rate. */
   noteSent({server, counts}: SentLately, now: number): void {
     const perSecond = this.rateOf_(server)
     if (perSecond === undefined) return
-    const bucket = this.fill(server, Math.max(LEAST_PER_SECOND, perSecond), now)
+    const bucket = this.fill(server, Math.max(MIN_PER_SECOND, perSecond), now)
     const step = Math.ceil(now / SENT_STEP_MS)
     counts.forEach((count, age) => {
-      if (count > 0) addTo(bucket.counted, (step - age) * SENT_STEP_MS, count)
+      if (count > 0) addToHistory(bucket.history, (step - age) * SENT_STEP_MS, count)
     })
-    bucket.counted.sort((a, b) => a.at - b.at)
+    bucket.history.sort((a, b) => a.at - b.at)
   }
 
-  /** How many times are told apart of what a server got. */
+  /** Returns the number of history entries of a server. */
   stepsOf(server: string): number {
-    return this.buckets_.get(server)?.counted.length ?? 0
+    return this.buckets_.get(server)?.history.length ?? 0
   }
 
-  /** Forgets servers that name no rate any more. */
+  /** Removes servers that no longer advertise a rate. */
   forget(): void {
     for (const server of this.buckets_.keys()) {
       if (this.rateOf_(server) === undefined) this.buckets_.delete(server)
     }
   }
 
-  /** A box is gone. */
   forgetBox(box: string): void {
     for (const {refused} of this.buckets_.values()) refused.delete(box)
   }
@@ -108,58 +125,61 @@
     const known = this.buckets_.get(server)
     const bucket = known ?? createBucket(now)
     this.buckets_.set(server, bucket)
-    const gained = ((now - bucket.filledAt) / 1_000) * GIVEN_SHARE * perSecond
-    const most = Math.max(LEAST_SAVED, SAVED_S * perSecond)
-    bucket.tokens = Math.min(most, bucket.tokens + gained)
+    const gained = ((now - bucket.filledAt) / 1_000) * GRANTED_SHARE * perSecond
+    const capacity = Math.max(MIN_BUCKET, BUCKET_S * perSecond)
+    bucket.tokens = Math.min(capacity, bucket.tokens + gained)
     bucket.filledAt = now
-    const {counted} = bucket
-    while (counted[0] && counted[0].at <= now - COUNTED_MS) counted.shift()
+    const {history} = bucket
+    while (history[0] && history[0].at <= now - HISTORY_MS) history.shift()
     return bucket
   }
 
-  /** What the server may still get within the span that ends now. */
-  private room({counted}: Bucket, perSecond: number): number {
-    return mostInSpan(perSecond) - sum(counted)
+  /**
+   * Returns how many requests the server can still get within the rate window that ends
+   * now.
+   */
+  private room({history}: Bucket, perSecond: number): number {
+    return maxPerWindow(perSecond) - countAll(history)
   }
 
-  /** In how long there is room for one more, milliseconds. */
-  private roomIn(bucket: Bucket, perSecond: number, now: number): number {
-    const byTokens = ((1 - bucket.tokens) * 1_000) / (GIVEN_SHARE * perSecond)
-    let over = 1 - this.room(bucket, perSecond)
-    let bySpan = 0
-    for (const {at, count} of bucket.counted) {
-      if (over <= 0) break
-      over -= count
-      bySpan = at + COUNTED_MS - now
+  /** Returns the time until there is room for one more request. */
+  private msUntilRoom(bucket: Bucket, perSecond: number, now: number): number {
+    const byTokens = ((1 - bucket.tokens) * 1_000) / (GRANTED_SHARE * perSecond)
+    let excess = 1 - this.room(bucket, perSecond)
+    let byWindow = 0
+    for (const {at, count} of bucket.history) {
+      if (excess <= 0) break
+      excess -= count
+      byWindow = at + HISTORY_MS - now
     }
-    return Math.ceil(Math.max(1, byTokens, bySpan))
+    return Math.ceil(Math.max(1, byTokens, byWindow))
   }
 
-  private give(bucket: Bucket, amount: number, at: number): void {
+  private grant(bucket: Bucket, amount: number, at: number): void {
     this.given += amount
     bucket.tokens -= amount
     bucket.refused.clear()
-    const last = bucket.counted.at(-1)
-    if (last && at - last.at < STEP_MS) last.count += amount
-    else bucket.counted.push({at, count: amount})
+    const last = bucket.history.at(-1)
+    if (last && at - last.at < HISTORY_STEP_MS) last.count += amount
+    else bucket.history.push({at, count: amount})
   }
 }
 
-/** The whole requests that a rate allows in a span. */
-function mostInSpan(perSecond: number): number {
+/** Returns the number of requests that a rate allows in a rate window. */
+function maxPerWindow(perSecond: number): number {
   return Math.ceil((perSecond * SPAN_MS) / 1_000)
 }
 
-function sum(counted: Bucket["counted"]): number {
-  return counted.reduce((total, {count}) => total + count, 0)
+function countAll(history: Bucket["history"]): number {
+  return history.reduce((total, {count}) => total + count, 0)
 }
 
-function addTo(counted: Bucket["counted"], at: number, count: number): void {
-  const known = counted.find(each => each.at === at)
+function addToHistory(history: Bucket["history"], at: number, count: number): void {
+  const known = history.find(each => each.at === at)
   if (known) known.count += count
-  else counted.push({at, count})
+  else history.push({at, count})
 }
 
 function createBucket(now: number): Bucket {
-  return {tokens: 0, filledAt: now, counted: [], refused: new Set()}
+  return {tokens: 0, filledAt: now, history: [], refused: new Set()}
 }
--- a/src/core/rate-windows.ts
+++ b/src/core/rate-windows.ts
@@ -1,7 +1,7 @@
-/** Budgets over sliding windows: loads from the weight store, and repeated sends of boxes. */
+/** Budgets over sliding windows: loads from the weight store, and retries of boxes. */
 import {isSmall} from "./placement-news.js"
 
-/** Counts what happened within the last `spanMs`. */
+/** Counts events of the last `spanMs`. */
 export class SlidingCount {
   private readonly times_: number[] = []
 
@@ -21,81 +21,91 @@
 }
 
 export interface RetryBudgetOptions {
-  /** Repeated sends allowed for each request, over all boxes. */
+  /** Retries allowed for each request, over all boxes. */
   readonly ratio: number
-  /** Repeated sends allowed besides in each window, over all boxes. */
+  /** Additional retries allowed in each window, over all boxes. */
   readonly slack: number
   readonly windowMs: number
 }
 
-/** Of the shared budget few boxes use this part: others count windows that begin elsewhere. */
-const USED_SHARE = 0.6
+/**
+ * Part of the shared budget that boxes use if there are few of them. Their windows begin
+ * at different times.
+ */
+const FEW_BOXES_SHARE = 0.6
 
 /**
- * Where there are many boxes, the part of what its own requests allow that a box uses by itself, and
- * of the slack the part that is divided among boxes. Most of the slack is given out by the leader to
- * who asks: divided by 195 it rounds down to two repeats a box in 10 s, and most boxes need none. The
- * three parts stay under the whole for the windows that begin elsewhere.
+ * Parts of the budget if there are many boxes: what a box uses of what its own requests
+ * allow, the slack that is divided among boxes, and the slack that the leader grants on
+ * request. Divided by 195 boxes, the slack rounds down to two retries per box in 10 s,
+ * and most boxes need none. The three parts stay below the whole, since windows of boxes
+ * begin at different times.
  */
 const OWN_REQUESTS_SHARE = 0.8
 const OWN_SLACK_SHARE = 0.15
 const POOLED_SLACK_SHARE = 0.7
 
-/** A box's part of the budget of repeated sends to one service. */
+/** A box's part of the retry budget of one service. */
 export class RetryBudget {
   private readonly requests_: SlidingCount
-  private readonly repeats_: SlidingCount
+  private readonly retries_: SlidingCount
 
   constructor(private readonly options_: RetryBudgetOptions) {
     this.requests_ = new SlidingCount(options_.windowMs)
-    this.repeats_ = new SlidingCount(options_.windowMs)
+    this.retries_ = new SlidingCount(options_.windowMs)
   }
 
   noteRequest(now: number): void {
     this.requests_.add(now)
   }
 
-  /** What the box may still send once more without asking; `boxes` share the slack. */
+  /**
+   * Returns how many retries the box can make without a grant of the leader. The slack is
+   * divided among `boxes`.
+   */
   left(now: number, boxes: number): number {
     const {ratio, slack} = this.options_
     const byRequests = ratio * this.requests_.count(now)
     const bySlack = slack / Math.max(1, boxes)
     const own = isSmall(boxes)
-      ? USED_SHARE * (byRequests + bySlack)
+      ? FEW_BOXES_SHARE * (byRequests + bySlack)
       : OWN_REQUESTS_SHARE * byRequests + OWN_SLACK_SHARE * bySlack
-    return Math.floor(own) - this.repeats_.count(now)
+    return Math.floor(own) - this.retries_.count(now)
   }
 
-  /** A request went to a backend server once more. */
+  /** Counts a retry. */
   spend(now: number): void {
-    this.repeats_.add(now)
+    this.retries_.add(now)
   }
 }
 
 /**
- * The part of the slack that a leader gives out: one repeat to each who asks, while some are left.
+ * The part of the slack that the leader grants on request, one retry at a time.
  *
- * It answers callers that are spread unevenly over many boxes: 140 callers before 195 boxes, with 19 in
- * 100 sends turned away, had 9.4 in 100 of their requests refused while boxes could only use their own
- * parts and two thirds of the budget lay unused.
+ * It serves callers that are spread unevenly over many boxes. With 140 callers, 195 boxes
+ * and 19% of sends refused, 9.4% of the requests were refused while boxes had only their own
+ * parts of the budget, although two thirds of it were unused.
  */
 export class RetryPool {
-  private readonly given_ = new Map<string, SlidingCount>()
+  private readonly grants_ = new Map<string, SlidingCount>()
 
-  /** What an earlier leader gave out is not known: the pool fills in one window from its start. */
+  /**
+   * Grants of an earlier leader are unknown, so the pool fills over one window from
+   * `since_` on.
+   */
   constructor(
     private readonly options_: RetryBudgetOptions,
     private readonly since_: number
   ) {}
 
-  /** Whether one more request of the service may be sent again; it counts if so. */
+  /** Takes a retry for a request of the service. Returns false if there is none left. */
   take(service: string, now: number): boolean {
     const {slack, windowMs} = this.options_
     const filled = Math.min(1, (now - this.since_) / windowMs)
-    const given = this.given_.get(service) ?? new SlidingCount(windowMs)
-    this.given_.set(service, given)
-    if (given.count(now) + 1 > POOLED_SLACK_SHARE * slack * filled) return false
-    given.add(now)
+    const grants = this.grants_.get(service) ?? new SlidingCount(windowMs)
+    this.grants_.set(service, grants)
+    if (grants.count(now) + 1 > POOLED_SLACK_SHARE * slack * filled) return false
+    grants.add(now)
     return true
   }
 }
--- a/src/core/reading-rate.ts
+++ b/src/core/reading-rate.ts
@@ -1,31 +1,36 @@
 /**
- * How fast the engines of a fleet read prompts, learned where work always waited: only then do the
- * tokens read in a span tell what an engine can do. Limits on waiting work are given as time, and
- * mean the same on engines of any speed.
+ * The prefill rate of a fleet's engines, estimated while work was always waiting: only
+ * then does the number of prefilled tokens show the speed of an engine. Limits on waiting
+ * work are given as time, so that they mean the same on engines of any speed.
  */
 import type {Fleet, FleetEngine} from "./placement-state.js"
 
-/** Before any engine was busy for a whole span: a middling engine of today, tokens a millisecond. */
+/**
+ * Prefill rate (tokens per millisecond) of a typical engine, used until one was busy for
+ * a whole span.
+ */
 export const FIRST_RATE = 20
 
-/** What is read is counted over this time: several turns in which boxes tell of it, milliseconds. */
+/** Length of a span: several intervals at which boxes report prefilled tokens. */
 const SPAN_MS = 1_000
 
-/** An engine with less waiting work at an end of the span may have been idle within it, tokens. */
-const BUSY_TOKENS = 4_000
+/**
+ * An engine with less waiting work at either end of a span may have been idle within it.
+ */
+const MIN_BUSY_TOKENS = 4_000
 
-/** Weight of the newest span against what was learned before. */
-const NEWEST = 0.2
+/** Weight of the newest span in the estimate. */
+const NEWEST_WEIGHT = 0.2
 
-/** What an engine has read since a moment. */
+/** Tokens that an engine prefilled since a time. */
 export interface ReadSpan {
   since: number
   tokens: number
-  /** Work waited at its start. */
+  /** Whether the engine had waiting work at the start. */
   busy: boolean
 }
 
-/** Tokens a millisecond that an engine reads, as far as is known. */
+/** Estimated prefill rate of an engine. */
 export interface ReadingRate {
   tokensPerMs: number
 }
@@ -34,7 +39,7 @@
   return {tokensPerMs: FIRST_RATE}
 }
 
-/** Notes prompt tokens that an engine has read. */
+/** Records prompt tokens that an engine prefilled. */
 export function noteRead(
   {reading}: Fleet,
   engine: FleetEngine,
@@ -45,14 +50,14 @@
   read.tokens += tokens
   const spanMs = now - read.since
   if (spanMs < SPAN_MS) return
-  const busy = engine.load > BUSY_TOKENS
+  const busy = engine.load > MIN_BUSY_TOKENS
   if (read.busy && busy && spanMs < 2 * SPAN_MS) {
-    reading.tokensPerMs += NEWEST * (read.tokens / spanMs - reading.tokensPerMs)
+    reading.tokensPerMs += NEWEST_WEIGHT * (read.tokens / spanMs - reading.tokensPerMs)
   }
   engine.read = {since: now, tokens: 0, busy}
 }
 
-/** Tokens that an engine reads in so many milliseconds. */
+/** Returns the number of tokens that an engine prefills in `ms`. */
 export function tokensIn({reading}: Fleet, ms: number): number {
   return reading.tokensPerMs * ms
 }
--- a/src/core/recent-sends.ts
+++ b/src/core/recent-sends.ts
@@ -1,46 +1,46 @@
-/** What a box sent to each backend server within the last seconds, in steps of time. */
+/** Counts of a box's sends to each backend server in the last seconds, by time step. */
 
-/** Servers count what they get over spans of this length, milliseconds. */
+/** Window over which servers count requests for their rate limit. */
 export const SPAN_MS = 4_000
 
-/** The steps in which it is counted, milliseconds. */
+/** Time step of the counts. */
 export const SENT_STEP_MS = 250
 
 const STEPS = SPAN_MS / SENT_STEP_MS
 
 interface Counts {
-  /** The number of the newest step. */
+  /** Number of the newest step. */
   step: number
-  /** By the number of the step, modulo the steps that are kept. */
+  /** Indexed by the step number modulo `STEPS`. */
   readonly counts: number[]
 }
 
-/** Times are those in which the process ran, milliseconds. */
+/** Times exclude suspensions of the process. */
 export class RecentSends {
   private readonly servers_ = new Map<string, Counts>()
 
   note(server: string, now: number): void {
-    const counts = this.at(server, now)
+    const counts = this.countsAt(server, now)
     const index = counts.step % STEPS
     counts.counts[index] = (counts.counts[index] ?? 0) + 1
   }
 
-  /** By age in steps, the newest first; empty: nothing was sent. */
+  /** Returns the counts by age in steps, newest first. Empty if nothing was sent. */
   list(server: string, now: number): number[] {
     if (!this.servers_.has(server)) return []
-    const {step, counts} = this.at(server, now)
+    const {step, counts} = this.countsAt(server, now)
     const listed = counts.map((_, age) => counts[(step - age + STEPS) % STEPS] ?? 0)
     return listed.some(count => count > 0) ? listed : []
   }
 
-  /** Keeps the counts of these servers only. */
+  /** Removes the counts of all other servers. */
   keep(isKept: (server: string) => boolean): void {
     for (const server of this.servers_.keys()) {
       if (!isKept(server)) this.servers_.delete(server)
     }
   }
 
-  private at(server: string, now: number): Counts {
+  private countsAt(server: string, now: number): Counts {
     const step = Math.floor(now / SENT_STEP_MS)
     let known = this.servers_.get(server)
     if (!known) {
--- a/src/core/send-allowances.ts
+++ b/src/core/send-allowances.ts
@@ -1,68 +1,73 @@
 /**
- * Allowances that a box holds for sends to servers that named the rate they take, and when it asks its leader for
- * more. Without a leader the box keeps to its own part of a rate.
+ * Allowances of a box for sends to rate-limited servers, and its requests for more of
+ * them. Without a leader a box sends within its fallback share of the rate.
  */
 import type {SendAsk, SendGrant} from "../types/rate-messages.js"
 
-/** An allowance is of use for so long after it was asked for, milliseconds. */
+/** An allowance can be used until this time after it was requested. */
 export const USE_MS = 250
 
-/** The leader's answer takes no longer than this, milliseconds. */
-const ANSWER_MS = 150
+/** Timeout of a request to the leader. */
+const ANSWER_TIMEOUT_MS = 150
 
-/** Without an answer the leader is not asked again for so long, milliseconds. */
-const SILENT_MS = 600
+/** Pause after a request without an answer. */
+const TIMEOUT_PAUSE_MS = 600
 
-/** Allowances are kept in stock for what was sent, or could have been, in this time, milliseconds. */
-const STOCK_MS = 250
+/** Allowances are held in reserve for the demand of this time. */
+const RESERVE_MS = 250
 
-/** The time over which that is averaged, milliseconds, and what there is of it where some is. */
-const DEMAND_MS = 1_000
-const LEAST_DEMAND = 0.1
+/**
+ * Time constant of the demand average, and the average (requests in that time) above
+ * which a server counts as in demand.
+ */
+const DEMAND_AVERAGE_MS = 1_000
+const MIN_DEMAND = 0.1
 
 /**
- * Of its part of a rate, what a box uses that reaches no leader: other boxes may have one, which gives out the
- * whole rate.
+ * Part of its fallback share that a box without a leader uses. Other boxes may still
+ * reach a leader, which grants the whole rate.
  */
-const OWN_SHARE = 0.5
+const FALLBACK_PART = 0.5
 
-/** Where its own part is less, a box sends a request as often as this, milliseconds. */
-const MAX_TURN_MS = 300_000
+/**
+ * Longest interval between sends without a leader, however small the fallback share is.
+ */
+const MAX_FALLBACK_INTERVAL_MS = 300_000
 
-interface Held {
+interface HeldAllowance {
   left: number
   readonly from: number
   readonly until: number
 }
 
-interface OpenAsk {
+interface OpenRequest {
   readonly ask: number
   readonly at: number
   readonly waitMs: number
 }
 
 interface Holding {
-  held: Held[]
-  open: OpenAsk | undefined
-  /** There is no room before. */
+  held: HeldAllowance[]
+  open: OpenRequest | undefined
+  /** The server has no room before then. */
   fullUntil: number
-  /** The leader did not answer; until then it is not asked. */
+  /** The leader did not answer and gets no request before then. */
   silentUntil: number
-  /** When the box may send the next request without a leader; undefined: it has not had to yet. */
-  ownNextAt: number | undefined
-  /** Sends that were made or could have been, a millisecond. */
+  /** Next send within the fallback share. Undefined if there was none yet. */
+  fallbackNextAt: number | undefined
+  /** Average demand: requests per millisecond that were sent or could have been. */
   demand: number
   demandAt: number
 }
 
-/** What requests that wait need of one server. */
+/** Demand of waiting requests for one server. */
 export interface SendNeed {
   readonly count: number
   readonly rank: number
   readonly waitMs: number
 }
 
-/** What a box's own part of a rate rests on. */
+/** Parameters of a box's fallback share of a rate. */
 export interface OwnPart {
   readonly perSecond: number
   readonly boxes: number
@@ -72,14 +77,16 @@
 
 export class SendAllowances {
   private readonly holdings_ = new Map<string, Holding>()
-  private asks_ = 0
+  private requestCount_ = 0
 
-  /** Whether a request may be sent to the server now. */
   holds(server: string, now: number): boolean {
     return this.holdings_.get(server)?.held.some(each => isLive(each, now)) ?? false
   }
 
-  /** Uses an allowance, which is there; until when its request must have left. */
+  /**
+   * Uses an allowance and returns the time by which its request must have left. Returns
+   * `now` if there is no allowance.
+   */
   use(server: string, now: number): number {
     const held = this.holdings_.get(server)?.held.find(each => isLive(each, now))
     if (!held) return now
@@ -87,28 +94,35 @@
     return held.until
   }
 
-  /** In how long there may be room, milliseconds; 0: there may be now. */
+  /** Returns the time until the server may have room; 0 if it may have room now. */
   fullForMs(server: string, now: number): number {
     return Math.max(0, (this.holdings_.get(server)?.fullUntil ?? 0) - now)
   }
 
-  /** In how long one that was given in advance can be used, milliseconds; Infinity: there is none. */
+  /**
+   * Returns the time until an allowance that was granted in advance can be used; Infinity
+   * if there is none.
+   */
   comesInMs(server: string, now: number): number {
     const held = this.holdings_.get(server)?.held ?? []
-    const coming = held.filter(({left, until}) => left > 0 && until > now)
-    return Math.min(...coming.map(({from}) => Math.max(0, from - now)))
+    const usable = held.filter(({left, until}) => left > 0 && until > now)
+    return Math.min(...usable.map(({from}) => Math.max(0, from - now)))
   }
 
-  /** A request goes to the server, or would if the box held an allowance. */
+  /**
+   * Counts a request that is sent to the server, or would be if the box held an
+   * allowance.
+   */
   noteDemand(server: string, now: number): void {
-    const holding = this.open(server, now)
-    fade(holding, now)
-    holding.demand += 1 / DEMAND_MS
+    const holding = this.holdingOf(server, now)
+    decayDemand(holding, now)
+    holding.demand += 1 / DEMAND_AVERAGE_MS
   }
 
   /**
-   * What is to be asked for now; undefined: nothing, or an answer is still to come. `isDue`: the server is to be
-   * sent one request at least, if there are any.
+   * Returns the request to send to the leader now. Undefined if the box has enough
+   * allowances, or has to wait. `isDue` means that a server in demand should get at least
+   * one request, since its answer may change the rate.
    */
   collect(
     server: string,
@@ -116,29 +130,32 @@
     isDue: boolean,
     now: number
   ): SendAsk | undefined {
-    const holding = this.open(server, now)
-    this.noteSilence(holding, now)
+    const holding = this.holdingOf(server, now)
+    this.checkTimeout(holding, now)
     if (holding.open || Math.max(holding.fullUntil, holding.silentUntil) > now) {
       return undefined
     }
-    fade(holding, now)
-    const live = holding.held.filter(({until}) => until > now)
-    const stock = live.reduce((sum, {left}) => sum + left, 0)
-    const least = isDue && holding.demand * DEMAND_MS > LEAST_DEMAND ? 1 : 0
-    const wanted = Math.max(least, Math.floor(holding.demand * STOCK_MS)) + count
-    if (wanted <= stock) return undefined
-    const ask = ++this.asks_
+    decayDemand(holding, now)
+    const valid = holding.held.filter(({until}) => until > now)
+    const available = valid.reduce((sum, {left}) => sum + left, 0)
+    const minimum = isDue && holding.demand * DEMAND_AVERAGE_MS > MIN_DEMAND ? 1 : 0
+    const wanted = Math.max(minimum, Math.floor(holding.demand * RESERVE_MS)) + count
+    if (wanted <= available) return undefined
+    const ask = ++this.requestCount_
     holding.open = {ask, at: now, waitMs}
-    return {server, ask, count: wanted - stock, rank, waitMs: Math.round(waitMs)}
+    return {server, ask, count: wanted - available, rank, waitMs: Math.round(waitMs)}
   }
 
-  /** Takes the leader's answer; true: something can be sent, or waits in vain. */
+  /**
+   * Handles the leader's answer. Returns false if it does not belong to the open request;
+   * otherwise waiting requests have to be evaluated again.
+   */
   take({server, ask, count, inMs = 0, roomInMs}: SendGrant, now: number): boolean {
     const holding = this.holdings_.get(server)
     const open = holding?.open
     if (!holding || open?.ask !== ask) return false
     holding.open = undefined
-    dropSpent(holding, now)
+    removeUsed(holding, now)
     if (count > 0) {
       const until = open.at + inMs + USE_MS
       holding.held.push({left: count, from: now + inMs, until})
@@ -147,17 +164,19 @@
     return true
   }
 
-  /** Whether the leader does not answer. */
+  /**
+   * Whether the last request to the leader timed out and the pause after it is not over.
+   */
   isSilent(server: string, now: number): boolean {
     const holding = this.holdings_.get(server)
     if (!holding) return false
-    this.noteSilence(holding, now)
+    this.checkTimeout(holding, now)
     return holding.silentUntil > now
   }
 
   /**
-   * Gives the box one of its own part of a rate if it is due; `draw` spreads the first of the boxes. Times are
-   * those in which the process ran.
+   * Adds an allowance of the fallback share if one is due. `draw` spreads the first sends
+   * of the boxes. `running` is the time without suspensions of the process.
    */
   takeOwn(
     server: string,
@@ -165,39 +184,42 @@
     running: number,
     now: number
   ): void {
-    const holding = this.open(server, now)
-    const turnMs = Math.min(MAX_TURN_MS, (boxes * 1_000) / (OWN_SHARE * perSecond))
-    holding.ownNextAt ??= running + turnMs * draw
-    const dueInMs = holding.ownNextAt - running
+    const holding = this.holdingOf(server, now)
+    const intervalMs = Math.min(
+      MAX_FALLBACK_INTERVAL_MS,
+      (boxes * 1_000) / (FALLBACK_PART * perSecond)
+    )
+    holding.fallbackNextAt ??= running + intervalMs * draw
+    const dueInMs = holding.fallbackNextAt - running
     if (dueInMs > 0) {
       holding.fullUntil = now + dueInMs
       return
     }
-    holding.ownNextAt = running + turnMs
-    dropSpent(holding, now)
+    holding.fallbackNextAt = running + intervalMs
+    removeUsed(holding, now)
     holding.held.push({left: 1, from: now, until: now + USE_MS})
   }
 
-  /** Another box leads, or this one: what the last leader said of room holds no more. */
+  /** Handles a change of leader: answers and room of the last leader no longer apply. */
   beginTerm(): void {
     for (const holding of this.holdings_.values()) {
       Object.assign(holding, {open: undefined, fullUntil: 0, silentUntil: 0})
     }
   }
 
-  /** The server names no rate any more, or is gone. */
+  /** Removes a server that is gone or no longer advertises a rate. */
   forget(server: string): void {
     this.holdings_.delete(server)
   }
 
-  private noteSilence(holding: Holding, now: number): void {
+  private checkTimeout(holding: Holding, now: number): void {
     const {open} = holding
-    if (!open || now - open.at < ANSWER_MS) return
+    if (!open || now - open.at < ANSWER_TIMEOUT_MS) return
     holding.open = undefined
-    holding.silentUntil = now + SILENT_MS
+    holding.silentUntil = now + TIMEOUT_PAUSE_MS
   }
 
-  private open(server: string, now: number): Holding {
+  private holdingOf(server: string, now: number): Holding {
     const known = this.holdings_.get(server)
     if (known) return known
     const holding: Holding = {
@@ -205,7 +227,7 @@
       open: undefined,
       fullUntil: 0,
       silentUntil: 0,
-      ownNextAt: undefined,
+      fallbackNextAt: undefined,
       demand: 0,
       demandAt: now
     }
@@ -214,15 +236,15 @@
   }
 }
 
-function dropSpent(holding: Holding, now: number): void {
+function removeUsed(holding: Holding, now: number): void {
   holding.held = holding.held.filter(({left, until}) => left > 0 && until > now)
 }
 
-function isLive({left, from, until}: Held, now: number): boolean {
+function isLive({left, from, until}: HeldAllowance, now: number): boolean {
   return left > 0 && from <= now && until > now
 }
 
-function fade(holding: Holding, now: number): void {
-  holding.demand *= Math.exp(-(now - holding.demandAt) / DEMAND_MS)
+function decayDemand(holding: Holding, now: number): void {
+  holding.demand *= Math.exp(-(now - holding.demandAt) / DEMAND_AVERAGE_MS)
   holding.demandAt = now
 }
--- a/src/core/server-rates.ts
+++ b/src/core/server-rates.ts
@@ -1,73 +1,80 @@
 /**
- * The rates that backend servers take from all boxes together, as their answers name them. Answers overtake each
- * other, and come to different boxes: of two that may have been given in either order the lower rate counts, and
- * only an answer to a request that was sent after the rate was last heard ends it.
+ * Rate limits over all boxes that backend servers advertise in their answers.
+ *
+ * Answers can arrive out of order and at different boxes. If the order of two answers is
+ * unknown, the lower rate applies. Only an answer to a request that was sent after the
+ * rate was last received ends it.
  */
 import type {RateNews} from "../types/rate-messages.js"
 
-/** A server's word, by the clock of the box. */
+/** Rate limit that a server advertised. Times are of the box's clock. */
 export interface RateWord {
-  /** Requests a second; undefined: it names none any more. */
+  /** Undefined if the server no longer advertises a rate. */
   readonly perSecond: number | undefined
-  /** When the request was sent whose answer says so, and when that answer came. */
+  /** When the request was sent, and when its answer arrived. */
   readonly sentAt: number
   readonly heardAt: number
 }
 
-/** Words that are remembered, of servers and of lives of servers. */
-const MAX_WORDS = 2_000
+/** Entries that are kept, of servers and of incarnations of servers. */
+const MAX_ENTRIES = 2_000
 
-/** A word that ended a rate is remembered for so long: older ones may still come, milliseconds. */
-const ENDED_MS = 10_000
+/** Retention of an entry that ended a rate, since older answers may still arrive. */
+const ENDED_RETENTION_MS = 10_000
 
-/** What a word of another box may have spent on its way, milliseconds. */
-const WAY_MS = 300
+/** Longest delay of a message from another box. */
+const MAX_DELAY_MS = 300
 
 export class ServerRates {
-  private readonly words_ = new Map<string, RateWord>()
+  private readonly rates_ = new Map<string, RateWord>()
 
-  /** Requests a second that a server takes; undefined: it names none. */
+  /** Returns the rate (requests per second) that a server advertises, if any. */
   of(server: string): number | undefined {
-    return this.words_.get(server)?.perSecond
+    return this.rates_.get(server)?.perSecond
   }
 
-  /** When a server last named its rate, as far as this box heard. */
+  /** Returns when the last answer with a rate arrived, as far as this box knows. */
   heardAt(server: string): number {
-    return this.words_.get(server)?.heardAt ?? -Infinity
+    return this.rates_.get(server)?.heardAt ?? -Infinity
   }
 
-  /** The servers that name a rate now. */
+  /** Returns the servers that advertise a rate. */
   list(): string[] {
-    return [...this.words_].flatMap(([server, {perSecond}]) =>
+    return [...this.rates_].flatMap(([server, {perSecond}]) =>
       perSecond === undefined ? [] : [server]
     )
   }
 
-  /** Takes a word; true: what is in force has changed. */
-  take(server: string, word: RateWord): boolean {
-    const known = this.words_.get(server)
-    const next = merge(known, word)
+  /** Applies an advertised rate. Returns whether the rate in force has changed. */
+  take(server: string, update: RateWord): boolean {
+    const known = this.rates_.get(server)
+    const next = merge(known, update)
     if (next === known || !next) return false
-    this.words_.delete(server)
-    this.words_.set(server, next)
-    this.forgetOld(word.heardAt)
+    this.rates_.delete(server)
+    this.rates_.set(server, next)
+    this.removeExpired(update.heardAt)
     return next.perSecond !== known?.perSecond
   }
 
-  /** Takes what another box heard; `stands`: what this one knows goes before it, and differs. */
+  /**
+   * Applies a rate that another box received. Returns `stands` if the rate known here
+   * takes precedence and differs.
+   */
   takeNews(news: RateNews, now: number): "changed" | "known" | "stands" {
     const heardAt = now - news.heardAgoMs
-    const sentAt = now - news.sentAgoMs - WAY_MS
+    const sentAt = now - news.sentAgoMs - MAX_DELAY_MS
     const {server, perSecond} = news
     if (this.take(server, {perSecond, sentAt, heardAt})) return "changed"
     return this.of(server) === perSecond ? "known" : "stands"
   }
 
-  /** What another box is told of a server; undefined: nothing is known. */
+  /**
+   * Returns the message about a server for other boxes. Undefined if nothing is known.
+   */
   tell(server: string, now: number): RateNews | undefined {
-    const word = this.words_.get(server)
-    if (!word) return undefined
-    const {perSecond, sentAt, heardAt} = word
+    const rate = this.rates_.get(server)
+    if (!rate) return undefined
+    const {perSecond, sentAt, heardAt} = rate
     return {
       server,
       ...(perSecond === undefined ? {} : {perSecond}),
@@ -76,31 +83,30 @@
     }
   }
 
-  /** The life of a server is over. */
   forget(server: string): void {
-    this.words_.delete(server)
+    this.rates_.delete(server)
   }
 
-  private forgetOld(now: number): void {
-    for (const [server, {perSecond, heardAt}] of this.words_) {
-      const isOver = perSecond === undefined && now - heardAt > ENDED_MS
-      if (isOver || this.words_.size > MAX_WORDS) this.words_.delete(server)
+  private removeExpired(now: number): void {
+    for (const [server, {perSecond, heardAt}] of this.rates_) {
+      const isExpired = perSecond === undefined && now - heardAt > ENDED_RETENTION_MS
+      if (isExpired || this.rates_.size > MAX_ENTRIES) this.rates_.delete(server)
       else return
     }
   }
 }
 
-/** What counts after a word, of what was known before and the word itself. */
-function merge(known: RateWord | undefined, word: RateWord): RateWord | undefined {
-  if (!known) return word.perSecond === undefined ? undefined : word
-  // It was given before what is known.
-  if (word.heardAt <= known.sentAt) return known
-  const isNewer = word.sentAt > known.heardAt
-  if (word.perSecond === undefined) {
-    return isNewer || known.perSecond === undefined ? word : known
+/** Returns the entry that applies after an update. */
+function merge(known: RateWord | undefined, update: RateWord): RateWord | undefined {
+  if (!known) return update.perSecond === undefined ? undefined : update
+  // The update is older than the known entry.
+  if (update.heardAt <= known.sentAt) return known
+  const isNewer = update.sentAt > known.heardAt
+  if (update.perSecond === undefined) {
+    return isNewer || known.perSecond === undefined ? update : known
   }
-  if (isNewer || known.perSecond === undefined) return word
-  const perSecond = Math.min(known.perSecond, word.perSecond)
-  const heardAt = Math.max(known.heardAt, word.heardAt)
-  return {perSecond, sentAt: Math.max(known.sentAt, word.sentAt), heardAt}
+  if (isNewer || known.perSecond === undefined) return update
+  const perSecond = Math.min(known.perSecond, update.perSecond)
+  const heardAt = Math.max(known.heardAt, update.heardAt)
+  return {perSecond, sentAt: Math.max(known.sentAt, update.sentAt), heardAt}
 }
