--- a/src/core/access.ts
+++ b/src/core/access.ts
@@ -1,7 +1,10 @@
 /**
- * Whether a caller's key lets its request through, and for which organisation. A key that was taken away
- * must not be used later than a fixed time after that was acknowledged, also by a box that is cut off: so
- * keys count only while the reading that the configuration rests on is young enough to have shown it.
+ * Checks whether a caller's key grants access, and for which organisation.
+ *
+ * A revoked key must not be accepted later than a fixed time after the revocation was
+ * acknowledged, not even by a box that is disconnected. Keys are therefore accepted only
+ * while the store read behind the configuration is recent enough to contain the
+ * revocation.
  */
 import type {Route} from "../types/fleet.js"
 import type {RoutedOrganisation} from "../types/organisations.js"
@@ -9,25 +12,28 @@
 import type {BoxServing} from "./box-state.js"
 import {findHolder} from "./route-table.js"
 
-/** Off the time in which a key that was taken away may still be used: clock rates, and a turn of the loop. */
+/**
+ * Safety margin for clock drift and a turn of the event loop, subtracted from the time in
+ * which a revoked key may still be accepted.
+ */
 const KEY_MARGIN_MS = 500
 
-/** Why a request is not let through. */
+/** Why a request is denied. */
 export type AccessRefusal =
-  /** It has no key, or one that no organisation holds. */
+  /** The request has no key, or one that belongs to no organisation. */
   | "unknown-key"
-  /** No organisation is known to hold its key, but that may have changed. */
+  /** The key belongs to no organisation, but the configuration may be out of date. */
   | "unknown-key-yet"
-  /** The box has not heard for too long which keys were taken away. */
+  /** The configuration is too old to rule out that the key was revoked. */
   | "keys-too-old"
 
 export type Access =
   | {readonly granted: true; readonly organisation?: RoutedOrganisation}
   | {readonly granted: false; readonly reason: AccessRefusal}
 
-const OPEN: Access = {granted: true}
+const GRANTED: Access = {granted: true}
 
-/** Looks a request's key up; `key`: its digest, or undefined where it has none. */
+/** Checks a request's key. `key` is its digest, or undefined if the request has none. */
 export function checkAccess(
   box: BoxServing,
   route: Route,
@@ -35,18 +41,21 @@
   now: number
 ): Access {
   const {table} = box
-  if (!table || table.config.organisations.length === 0) return OPEN
+  if (!table || table.config.organisations.length === 0) return GRANTED
   const organisation = key === undefined ? undefined : findHolder(table, key)
-  if (route.anonymous && !organisation) return OPEN
+  if (route.anonymous && !organisation) return GRANTED
   if (organisation) {
-    if (mayTrustKeys(box, now)) return {granted: true, organisation}
+    if (areKeysCurrent(box, now)) return {granted: true, organisation}
     return {granted: false, reason: "keys-too-old"}
   }
   const reason = isConfigCurrent(box, now) ? "unknown-key" : "unknown-key-yet"
   return {granted: false, reason}
 }
 
-/** Whether the key that let a request through still does: it may have waited since. */
+/**
+ * Whether the key still belongs to the organisation. It may have been revoked while the
+ * request waited.
+ */
 export function isStillHeld(
   {table}: BoxServing,
   key: string | undefined,
@@ -56,8 +65,11 @@
   return findHolder(table, key)?.name === organisation
 }
 
-/** Whether a key that was taken away in time would be known to be. */
-function mayTrustKeys(box: BoxServing, now: number): boolean {
+/**
+ * Whether the configuration is recent enough to contain all revocations that must be in
+ * force.
+ */
+function areKeysCurrent(box: BoxServing, now: number): boolean {
   const {takenAwayMs} = box.options
   if (takenAwayMs === undefined) return true
   return configAgeMs(box, now) <= takenAwayMs - KEY_MARGIN_MS
--- a/src/core/crash-list.ts
+++ b/src/core/crash-list.ts
@@ -1,34 +1,46 @@
 /**
- * Requests that backend servers crash under. A request is stopped once three servers have crashed while it
- * was in progress there and none has answered it whole. Boxes merge each other's lists: the lives of servers
- * that crashed are a set, so that the order of news does not matter and nothing counts twice.
+ * Requests that crash backend servers. A request is quarantined, that is, sent to no
+ * server, once three servers have crashed while it was in progress there and no server
+ * has answered it completely. Boxes merge their lists: the incarnations of crashed
+ * servers are a set, so the order of updates does not matter and no crash counts twice.
  *
- * A request that many callers send alike can be in progress at three crashes by chance. So the leader lets a
- * stopped one through now and then, one at a time: an answer clears it, another crash does not.
+ * A request that many callers send can be in progress at three crashes by chance. The
+ * leader therefore lets quarantined requests through as trials, one at a time. An answer
+ * clears the request, another crash does not.
  */
 import type {CrashNews} from "../types/crash-messages.js"
 
-/** Under so many crashes a request is stopped. */
 export const CRASHES_TO_STOP = 3
 
-/** Times from the last crash until each trial, milliseconds. A stopped request reaches servers no more than this. */
+/**
+ * Delay of each trial after the last crash. A quarantined request reaches servers only in
+ * these trials.
+ */
 export const TRIALS_MS = [5_000, 60_000] as const
 
-/** From one trial to the next, of whatever request, milliseconds: one must not be blamed for the other's crash. */
+/**
+ * Interval between trials of any requests, so that one is not blamed for the other's
+ * crash.
+ */
 const TRIAL_GAP_MS = 3_000
 
-/** A request under which no server crashed for so long is forgotten, milliseconds. */
-const KEEP_MS = 24 * 3_600_000
+/** A request without another crash in this time is removed. */
+const RETENTION_MS = 24 * 3_600_000
 
-/** Requests that are remembered. Those with the fewest crashes make way first, then the oldest. */
+/**
+ * Beyond this number the request with the fewest crashes is removed, the oldest of them
+ * first.
+ */
 const MAX_RECORDS = 512
 
 interface CrashRecord {
-  /** The newest `CRASHES_TO_STOP`, oldest first. */
-  readonly lives: readonly string[]
-  /** When the last of them was seen to end, by the clock of the box. */
+  /**
+   * Incarnations of crashed servers: the newest `CRASHES_TO_QUARANTINE`, oldest first.
+   */
+  readonly incarnations: readonly string[]
+  /** When this box learned of the last crash. */
   readonly at: number
-  /** Trials that were begun. */
+  /** Number of trials that were started. */
   readonly trials: number
 }
 
@@ -44,98 +56,108 @@
     return [...this.records_.keys()]
   }
 
-  /** A server crashed while the request was in progress there; false: that was known. */
-  add(fingerprint: string, life: string, at: number): boolean {
+  /**
+   * Adds a server that crashed while the request was in progress. Returns false if it was
+   * known.
+   */
+  add(fingerprint: string, incarnation: string, at: number): boolean {
     const known = this.records_.get(fingerprint)
-    if (known?.lives.includes(life)) return false
-    const lives = [...(known?.lives ?? []), life].slice(-CRASHES_TO_STOP)
+    if (known?.incarnations.includes(incarnation)) return false
+    const incarnations = [...(known?.incarnations ?? []), incarnation].slice(
+      -CRASHES_TO_STOP
+    )
     const lastAt = Math.max(at, known?.at ?? -Infinity)
-    this.put(fingerprint, {lives, at: lastAt, trials: known?.trials ?? 0})
+    this.put(fingerprint, {incarnations, at: lastAt, trials: known?.trials ?? 0})
     return true
   }
 
-  /** Takes another box's record; false: it told nothing new. */
+  /** Merges another box's record. Returns false if it contains nothing new. */
   merge({fingerprint, lives, ageMs, trials}: CrashNews, now: number): boolean {
-    const added = lives.map(life => this.add(fingerprint, life, now - ageMs))
+    const added = lives.map(incarnation =>
+      this.add(fingerprint, incarnation, now - ageMs)
+    )
     const known = this.records_.get(fingerprint)
     const isTried = known !== undefined && trials > known.trials
     if (isTried) this.put(fingerprint, {...known, trials})
     return isTried || added.includes(true)
   }
 
-  /** The request crashes no server. */
+  /** Removes a request that was found to crash no server. */
   clear(fingerprint: string): boolean {
     return this.records_.delete(fingerprint)
   }
 
-  /** Whether the request is to be sent to no server. */
   isStopped(fingerprint: string): boolean {
-    return (this.records_.get(fingerprint)?.lives.length ?? 0) >= CRASHES_TO_STOP
+    return (this.records_.get(fingerprint)?.incarnations.length ?? 0) >= CRASHES_TO_STOP
   }
 
-  /** In how long a stopped request may be tried, milliseconds; 0: now. */
+  /**
+   * Returns the time until a trial of a quarantined request; 0 if it may be tried now.
+   */
   trialInMs(fingerprint: string, now: number): number {
     const record = this.records_.get(fingerprint)
     if (!record) return 0
-    const waitMs = TRIALS_MS[record.trials] ?? KEEP_MS
+    const waitMs = TRIALS_MS[record.trials] ?? RETENTION_MS
     return Math.max(0, record.at + waitMs - now)
   }
 
-  /** Whether a trial may begin now. */
   mayTry(now: number): boolean {
     return now - this.triedAt_ >= TRIAL_GAP_MS
   }
 
-  /** A trial of a stopped request begins. */
+  /** Records the start of a trial. */
   noteTrial(fingerprint: string, now: number): void {
     this.triedAt_ = now
     const record = this.records_.get(fingerprint)
     if (record) this.put(fingerprint, {...record, trials: record.trials + 1})
   }
 
-  /** The records of these requests, or of all, for other boxes. */
+  /** Returns the records of these requests, or of all, as messages for other boxes. */
   tell(now: number, fingerprints: Iterable<string> = this.records_.keys()): CrashNews[] {
     return [...fingerprints].flatMap(fingerprint => {
       const record = this.records_.get(fingerprint)
       if (!record) return []
       const ageMs = Math.max(0, Math.round(now - record.at))
-      const {lives, trials} = record
+      const {incarnations: lives, trials} = record
       return [{fingerprint, lives, ageMs, trials}]
     })
   }
 
-  /** The records that another box's whole list lacks, or has with fewer crashes or trials. */
+  /**
+   * Returns the records that another box's full list lacks, or has with fewer crashes or
+   * trials.
+   */
   tellMissing(theirs: readonly CrashNews[], now: number): CrashNews[] {
-    const known = new Map(theirs.map(record => [record.fingerprint, record]))
+    const theirRecords = new Map(theirs.map(record => [record.fingerprint, record]))
     return this.tell(now).filter(({fingerprint, lives, trials}) => {
-      const told = known.get(fingerprint)
-      if (!told || trials > told.trials) return true
-      if (told.lives.length >= CRASHES_TO_STOP) return false
-      return lives.some(life => !told.lives.includes(life))
+      const theirRecord = theirRecords.get(fingerprint)
+      if (!theirRecord || trials > theirRecord.trials) return true
+      if (theirRecord.lives.length >= CRASHES_TO_STOP) return false
+      return lives.some(incarnation => !theirRecord.lives.includes(incarnation))
     })
   }
 
-  /** Forgets requests under which no server has crashed for long. */
+  /** Removes requests without a recent crash. */
   expire(now: number): void {
     for (const [fingerprint, {at}] of this.records_) {
-      if (now - at > KEEP_MS) this.records_.delete(fingerprint)
+      if (now - at > RETENTION_MS) this.records_.delete(fingerprint)
     }
   }
 
   private put(fingerprint: string, record: CrashRecord): void {
     this.records_.delete(fingerprint)
     this.records_.set(fingerprint, record)
-    if (this.records_.size > MAX_RECORDS) this.dropOne()
+    if (this.records_.size > MAX_RECORDS) this.removeOne()
   }
 
-  private dropOne(): void {
-    let dropped: string | undefined
+  private removeOne(): void {
+    let removed: string | undefined
     let fewest = Infinity
-    for (const [fingerprint, {lives}] of this.records_) {
-      if (lives.length >= fewest) continue
-      fewest = lives.length
-      dropped = fingerprint
+    for (const [fingerprint, {incarnations}] of this.records_) {
+      if (incarnations.length >= fewest) continue
+      fewest = incarnations.length
+      removed = fingerprint
     }
-    if (dropped !== undefined) this.records_.delete(dropped)
+    if (removed !== undefined) this.records_.delete(removed)
   }
 }
--- a/src/core/crash-watch.ts
+++ b/src/core/crash-watch.ts
@@ -1,112 +1,144 @@
-/** What a box keeps to tell which requests were in progress at a backend server as it crashed. */
+/** Tracks which requests were in progress at a backend server when it crashed. */
 
-/** A request counts as in progress for so long after its connection was closed, milliseconds. */
+/** A request counts as in progress until this time after its connection was closed. */
 const CLOSED_MS = 1_000
 
-/** The same after its whole answer came: a server may crash of it right after, and be seen to a little later. */
+/**
+ * The same after a complete answer: a server may crash right after it, and the crash may
+ * be noticed a little later.
+ */
 const ANSWERED_MS = 300
 
 const MAX_ENDED = 2_000
 
-/** A server that broke off requests is looked at again after this, milliseconds, and so often in all. */
-const LOOK_AGAIN_MS = 500
-const MAX_LOOKS = 4
-
-/** So long the news of its next life tells that it crashed: where it could not be reached, and where it could, milliseconds. */
-const UNKNOWN_MS = 15_000
-const REBORN_MS = 3_000
-
-/** A send that is over. */
+/**
+ * Interval and number of connection tests of a server that closed connections during
+ * requests.
+ */
+const PROBE_INTERVAL_MS = 500
+const MAX_PROBES = 4
+
+/**
+ * Time in which a new incarnation of the server proves a crash: if the server could not
+ * be reached, and if it could.
+ */
+const UNREACHABLE_MS = 15_000
+const REACHABLE_MS = 3_000
+
+/** Send that has ended. */
 interface EndedSend {
   readonly fingerprint: string
-  readonly life: string
+  readonly incarnation: string
   readonly at: number
   readonly answered: boolean
 }
 
-/** A server that broke off requests, and may have crashed. */
-interface Broken {
+/** Server that closed connections during requests and may have crashed. */
+interface SuspectedCrash {
   readonly at: number
-  /** Nothing is concluded from it any more then. */
+  /** Nothing is concluded from the closed connections after this time. */
   until: number
-  /** Requests that ended as it broke off, or shortly before. */
+  /** Requests that ended when it closed connections or shortly before. */
   readonly suspects: Set<string>
-  looksLeft: number
-  lookAt: number
+  probesLeft: number
+  probeAt: number
 }
 
 export class CrashWatch {
   /** Oldest first. */
   private ended_: EndedSend[] = []
-  private readonly broken_ = new Map<string, Broken>()
+  private readonly suspected_ = new Map<string, SuspectedCrash>()
 
-  /** A send ended without a whole answer. */
-  noteClosed(fingerprint: string, life: string, at: number): void {
-    this.noteEnded({fingerprint, life, at, answered: false})
+  /** Records a send that ended without a complete answer. */
+  noteClosed(fingerprint: string, incarnation: string, at: number): void {
+    this.recordEnded({fingerprint, incarnation, at, answered: false})
   }
 
-  /** A send ended with a whole answer. */
-  noteAnswered(fingerprint: string, life: string, at: number): void {
-    this.noteEnded({fingerprint, life, at, answered: true})
+  /** Records a send that ended with a complete answer. */
+  noteAnswered(fingerprint: string, incarnation: string, at: number): void {
+    this.recordEnded({fingerprint, incarnation, at, answered: true})
   }
 
-  /** Whether a request ended at the server so lately that it may have to do with its crash. */
-  endedLately(life: string, now: number): boolean {
-    return this.ended_.some(each => each.life === life && now - each.at < CLOSED_MS)
+  /**
+   * Whether a request ended at the server so recently that it may be related to its
+   * crash.
+   */
+  endedLately(incarnation: string, now: number): boolean {
+    return this.ended_.some(
+      each => each.incarnation === incarnation && now - each.at < CLOSED_MS
+    )
   }
 
-  /** The requests that ended at the server shortly before that time, or since. */
-  private endedAround(life: string, at: number): string[] {
+  /** Returns the requests that ended at the server shortly before that time or since. */
+  private endedAround(incarnation: string, at: number): string[] {
     return this.ended_
-      .filter(each => each.life === life)
+      .filter(each => each.incarnation === incarnation)
       .filter(each => at - each.at < (each.answered ? ANSWERED_MS : CLOSED_MS))
       .map(({fingerprint}) => fingerprint)
   }
 
-  /** A server broke off a request; false: it is being looked at already. */
-  noteBroken(life: string, now: number): boolean {
-    const known = this.broken_.get(life)
-    const suspects = new Set(this.endedAround(life, now))
+  /**
+   * Records that a server closed a connection during a request. Returns false if the
+   * server is being tested already.
+   */
+  noteBroken(incarnation: string, now: number): boolean {
+    const known = this.suspected_.get(incarnation)
+    const suspects = new Set(this.endedAround(incarnation, now))
     if (known && now - known.at < CLOSED_MS) {
       for (const fingerprint of suspects) known.suspects.add(fingerprint)
       return false
     }
-    const until = now + UNKNOWN_MS
-    const lookAt = now + LOOK_AGAIN_MS
-    this.broken_.set(life, {at: now, until, suspects, looksLeft: MAX_LOOKS - 1, lookAt})
+    const until = now + UNREACHABLE_MS
+    const probeAt = now + PROBE_INTERVAL_MS
+    this.suspected_.set(incarnation, {
+      at: now,
+      until,
+      suspects,
+      probesLeft: MAX_PROBES - 1,
+      probeAt
+    })
     return true
   }
 
-  /** The server takes connections: it is sound, unless its next life is told of soon. */
-  noteReached(life: string, now: number): void {
-    const broken = this.broken_.get(life)
-    if (!broken) return
-    broken.looksLeft = 0
-    broken.until = Math.min(broken.until, now + REBORN_MS)
+  /**
+   * Records that the server accepts connections. It has not crashed unless its next
+   * incarnation is reported soon.
+   */
+  noteReached(incarnation: string, now: number): void {
+    const suspected = this.suspected_.get(incarnation)
+    if (!suspected) return
+    suspected.probesLeft = 0
+    suspected.until = Math.min(suspected.until, now + REACHABLE_MS)
   }
 
-  /** The server has crashed: the requests that ended as it did, or shortly before. */
-  takeCrash(life: string, now: number): string[] {
-    const broken = this.broken_.get(life)
-    this.broken_.delete(life)
-    return [...(broken?.suspects ?? []), ...this.endedAround(life, broken?.at ?? now)]
+  /**
+   * Handles a crash. Returns the requests that ended when the server crashed or shortly
+   * before.
+   */
+  takeCrash(incarnation: string, now: number): string[] {
+    const suspected = this.suspected_.get(incarnation)
+    this.suspected_.delete(incarnation)
+    return [
+      ...(suspected?.suspects ?? []),
+      ...this.endedAround(incarnation, suspected?.at ?? now)
+    ]
   }
 
-  /** The servers that are to be looked at again now. */
+  /** Returns the servers whose next connection test is due. */
   takeLooks(now: number): string[] {
     const due: string[] = []
-    for (const [life, broken] of this.broken_) {
-      if (now >= broken.until) this.broken_.delete(life)
-      else if (broken.looksLeft > 0 && now >= broken.lookAt) {
-        broken.looksLeft--
-        broken.lookAt = now + LOOK_AGAIN_MS
-        due.push(life)
+    for (const [incarnation, suspected] of this.suspected_) {
+      if (now >= suspected.until) this.suspected_.delete(incarnation)
+      else if (suspected.probesLeft > 0 && now >= suspected.probeAt) {
+        suspected.probesLeft--
+        suspected.probeAt = now + PROBE_INTERVAL_MS
+        due.push(incarnation)
       }
     }
     return due
   }
 
-  private noteEnded(send: EndedSend): void {
+  private recordEnded(send: EndedSend): void {
     this.ended_.push(send)
     const [oldest] = this.ended_
     const isFull = this.ended_.length > MAX_ENDED
--- a/src/core/difference.ts
+++ b/src/core/difference.ts
@@ -1,21 +1,27 @@
-/** What changed between two generations, and who changed it, from the changes still kept. */
+/**
+ * Lists the records that differ between two generations of the configuration, and who
+ * changed them, as far as the changes are still kept.
+ */
 import type {ConfigChange, RecordChange, RecordKind} from "../types/config.js"
 
-/** One record that is not the same in both generations. */
+/** Record that differs between the generations. */
 export interface RecordDifference {
   readonly kind: RecordKind
   readonly id: string
-  /** Absent when it did not exist, or was last changed before what is kept. */
+  /** Absent if the record did not exist, or if its last change is no longer kept. */
   readonly before?: unknown
-  /** Absent when it was retired. */
+  /** Absent if the record was retired. */
   readonly after?: unknown
-  /** The last change to it. */
+  /** Generation, operator and time of the last change. */
   readonly generation: number
   readonly operator: string
   readonly at: number
 }
 
-/** The records changed after generation `from`, up to and with `to`, as `to` left them. */
+/**
+ * Returns the records changed after generation `from`, up to and including `to`, with
+ * their values at `to`.
+ */
 export function findDifference(
   changes: readonly ConfigChange[],
   from: number,
--- a/src/core/prefix-memory.ts
+++ b/src/core/prefix-memory.ts
@@ -1,17 +1,17 @@
 /**
- * How likely an engine has read the shared beginning of a prompt. A box sees only its own part of
- * the requests, so it reckons: requests of all boxes for an adapter are as many times its own as
- * there are boxes, and each fell on one of the beginnings that the box has met on the route.
- * Work that was believed to be kept though it was not made engines look idle that were not.
+ * Estimates the probability that an engine has a prompt's shared prefix in its cache. A
+ * box sees only its own requests. It therefore assumes that each box sends as many
+ * requests for an adapter as it does itself, spread over the prefixes that it has seen on
+ * the route. If uncached prefixes are counted as cached, busy engines look idle.
  */
 
-/** An engine keeps what it read for long; requests count half after this, milliseconds. */
+/** Half-life of the weight of a request. Engines keep prefixes for long. */
 const HALF_LIFE_MS = 10_000
 
-/** Adapters that are remembered: those asked for last. */
+/** Limit on remembered adapters; the least recently requested are removed. */
 const MAX_ADAPTERS = 2_000
 
-/** Beginnings that are remembered for each route; more are taken for too many to be kept. */
+/** Limit on remembered prefixes of a route. More are taken to be too many for a cache. */
 const MAX_PREFIXES = 256
 
 interface Count {
@@ -23,7 +23,7 @@
   private readonly counts_ = new Map<string, Count>()
   private readonly prefixes_ = new Map<string, Set<string>>()
 
-  /** Notes a request that was sent. */
+  /** Records a request that was sent. */
   note(route: string, adapter: string, prefix: string, now: number): void {
     const key = `${route} ${adapter}`
     const score = this.score(key, now) + 1
@@ -37,11 +37,14 @@
     dropOldest(prefixes, MAX_PREFIXES)
   }
 
-  /** The likelihood that some request of any box came before with this adapter and beginning. */
+  /**
+   * Returns the probability that a box has sent a request with this adapter and prefix
+   * before.
+   */
   keptShare(route: string, adapter: string, boxes: number, now: number): number {
     const requests = this.score(`${route} ${adapter}`, now) * Math.max(1, boxes)
-    const kinds = Math.max(1, this.prefixes_.get(route)?.size ?? 1)
-    return 1 - Math.exp(-requests / kinds)
+    const prefixCount = Math.max(1, this.prefixes_.get(route)?.size ?? 1)
+    return 1 - Math.exp(-requests / prefixCount)
   }
 
   private score(key: string, now: number): number {
@@ -50,9 +53,9 @@
   }
 }
 
-function dropOldest(kept: Map<string, unknown> | Set<string>, most: number): void {
-  for (const oldest of kept.keys()) {
-    if (kept.size <= most) return
-    kept.delete(oldest)
+function dropOldest(entries: Map<string, unknown> | Set<string>, most: number): void {
+  for (const oldest of entries.keys()) {
+    if (entries.size <= most) return
+    entries.delete(oldest)
   }
 }
--- a/src/core/store-calls.ts
+++ b/src/core/store-calls.ts
@@ -1,19 +1,22 @@
 /**
- * Calls to the key-value service over all boxes, from their log lines. Each line tells the sums since
- * its process started, so that a line that was left out is made up for by the next one; what a process
- * did after its last line is missing.
+ * Sums up calls to the key-value service over all boxes from their log lines. Each line
+ * contains the sums since the start of its process, so that the next line makes up for a
+ * missing one. Calls after the last line of a process are not counted.
  */
 import type {LogLine} from "./explain.js"
 
-/** Counts of one caller, reason and outcome in one span of time. */
+/** Count for one caller, reason and outcome in one time span. */
 export interface StoreCallRow {
-  /** Start of the span, seconds after the first line; boxes' clocks are taken for alike. */
+  /**
+   * Start of the span, in seconds after the first line. Boxes' clocks are assumed to
+   * agree.
+   */
   readonly fromS: number
   readonly caller: string
   readonly reason: string
   readonly outcome: string
   readonly calls: number
-  /** Processes that made some of them. */
+  /** Number of processes that made the calls. */
   readonly processes: number
 }
 
@@ -24,28 +27,31 @@
   readonly processes: Set<string>
 }
 
-/** Sums by spans of so many seconds, the most calls of a span first; 0: one span. */
+/**
+ * Returns the counts by spans of `spanS` seconds, most frequent calls first. 0 means one
+ * span.
+ */
 export function tellStoreCalls(lines: readonly LogLine[], spanS: number): StoreCallRow[] {
-  let begin = Infinity
-  for (const {time} of lines) begin = Math.min(begin, time)
+  let firstTime = Infinity
+  for (const {time} of lines) firstTime = Math.min(firstTime, time)
   const rows = new Map<string, Row>()
-  const told = new Map<string, number>()
+  const lastSums = new Map<string, number>()
   for (const line of lines) {
     if (line.event !== STORE_CALLS_EVENT) continue
     const process = `${line.box} ${String(line["process"])}`
-    const afterS = (line.time - begin) / 1000
+    const afterS = (line.time - firstTime) / 1000
     const fromS = spanS > 0 ? Math.floor(afterS / spanS) * spanS : 0
     for (const [kind, sum] of readCounts(line["calls"])) {
-      const calls = sum - (told.get(`${process} ${kind}`) ?? 0)
+      const calls = sum - (lastSums.get(`${process} ${kind}`) ?? 0)
       if (calls <= 0) continue
-      told.set(`${process} ${kind}`, sum)
+      lastSums.set(`${process} ${kind}`, sum)
       addTo(rows, `${fromS} ${kind}`, calls, process)
     }
   }
   return [...rows].map(toRow).sort((a, b) => a.fromS - b.fromS || b.calls - a.calls)
 }
 
-/** What is no count is passed over: lines come from files that others may have touched. */
+/** Ignores everything that is not a count, since log files may have been edited. */
 function readCounts(calls: unknown): [kind: string, sum: number][] {
   if (typeof calls !== "object" || calls === null) return []
   return Object.entries(calls).filter(
--- a/src/core/survivors.ts
+++ b/src/core/survivors.ts
@@ -1,68 +1,80 @@
 /**
- * Requests that a backend server answered whole and outlived: they crash none. A server may crash right after
- * the last byte of an answer, so that it counts only once the server was heard from later.
+ * Requests that are cleared of crashing servers: a backend server answered them
+ * completely and kept running. Since a server may crash right after the last byte of an
+ * answer, the request is cleared only by a later sign of life of the server.
  */
 
-/** A server has outlived an answer if it is heard from so much later, milliseconds. */
+/** A sign of life clears a request if it comes this long after the answer. */
 const SURVIVED_MS = 500
 
-/** Requests and lives of servers that are remembered, the latest. */
+/** Limits on remembered requests and incarnations of servers; the oldest are removed. */
 const MAX_ANSWERED = 2_000
-const MAX_LIVES = 2_000
+const MAX_INCARNATIONS = 2_000
 
-/** An answer that its server has not been heard from after for so long makes way for a newer one, milliseconds. */
+/**
+ * An answer without a later sign of life of its server is replaced by a newer one after
+ * this time.
+ */
 const UNCONFIRMED_MS = 2_000
 
-/** The first whole answer to a request that its server may have outlived. */
+/** First complete answer to a request that may clear it. */
 interface Answered {
-  readonly life: string
+  readonly incarnation: string
   readonly at: number
-  survived: boolean
-  /** The server is being looked at for it. */
-  looked: boolean
+  isCleared: boolean
+  /** Whether the server was tested because of it. */
+  probed: boolean
 }
 
 export class Survivors {
   private readonly answered_ = new Map<string, Answered>()
-  /** When each life of a server was heard from last. */
-  private readonly heardAt_ = new Map<string, number>()
+  /** Last sign of life of each incarnation of a server. */
+  private readonly lastSignAt_ = new Map<string, number>()
 
-  /** The server answers, or takes connections. */
-  noteHeard(life: string, now: number): void {
-    putNewest(this.heardAt_, life, now, MAX_LIVES)
+  /** Records that the server answered or accepted a connection. */
+  noteHeard(incarnation: string, now: number): void {
+    putNewest(this.lastSignAt_, incarnation, now, MAX_INCARNATIONS)
   }
 
-  /** A server answered the request whole. */
-  noteAnswered(fingerprint: string, life: string, now: number): void {
-    this.noteHeard(life, now)
+  /** Records a complete answer to the request. */
+  noteAnswered(fingerprint: string, incarnation: string, now: number): void {
+    this.noteHeard(incarnation, now)
     const isKept = this.has(fingerprint) || !this.isUnconfirmed(fingerprint, now)
     const kept = isKept ? this.answered_.get(fingerprint) : undefined
-    const answered = kept ?? {life, at: now, survived: false, looked: false}
+    const answered = kept ?? {incarnation, at: now, isCleared: false, probed: false}
     putNewest(this.answered_, fingerprint, answered, MAX_ANSWERED)
   }
 
-  /** Whether some server has answered the request whole and outlived that. */
+  /** Whether a server has answered the request completely and kept running. */
   has(fingerprint: string): boolean {
     const answered = this.answered_.get(fingerprint)
     if (!answered) return false
-    const {life, at} = answered
-    answered.survived ||= (this.heardAt_.get(life) ?? -Infinity) - at >= SURVIVED_MS
-    return answered.survived
+    const {incarnation, at} = answered
+    answered.isCleared ||=
+      (this.lastSignAt_.get(incarnation) ?? -Infinity) - at >= SURVIVED_MS
+    return answered.isCleared
   }
 
-  /** The server to look at to learn whether it has outlived its answer to the request; undefined: none, or not yet. */
+  /**
+   * Returns the server to test in order to clear the request. Undefined if there is none,
+   * or if it is too early.
+   */
   takeLook(fingerprint: string, now: number): string | undefined {
     const answered = this.answered_.get(fingerprint)
-    if (!answered || answered.looked || now - answered.at < SURVIVED_MS) return undefined
-    answered.looked = true
-    return answered.life
+    if (!answered || answered.probed || now - answered.at < SURVIVED_MS) return undefined
+    answered.probed = true
+    return answered.incarnation
   }
 
-  /** The server has crashed: the requests that it had answered and is not known to have outlived. */
-  takeCrash(life: string, now: number): string[] {
-    this.heardAt_.delete(life)
+  /**
+   * Handles a crash. Returns the requests that the server answered shortly before and
+   * that are not cleared.
+   */
+  takeCrash(incarnation: string, now: number): string[] {
+    this.lastSignAt_.delete(incarnation)
     const unconfirmed = [...this.answered_].filter(
-      ([fingerprint, answered]) => answered.life === life && !this.has(fingerprint)
+      ([fingerprint, answered]) =>
+        answered.incarnation === incarnation && !this.has(fingerprint)
     )
     for (const [fingerprint] of unconfirmed) this.answered_.delete(fingerprint)
     return unconfirmed
@@ -76,7 +88,7 @@
   }
 }
 
-/** Sets a key as the newest, and drops the oldest beyond so many. */
+/** Sets a key as the newest, and removes the oldest if there are more than `most`. */
 function putNewest<K, V>(map: Map<K, V>, key: K, value: V, most: number): void {
   map.delete(key)
   map.set(key, value)
