--- a/test/access.test.ts
+++ b/test/access.test.ts
@@ -1,4 +1,4 @@
-/** Callers' keys: who is let through, by what a box knows and by how old that is. */
+/** Access by callers' keys, depending on the configuration of a box and its age. */
 import t from "tap"
 import {checkAccess} from "../src/core/access.js"
 import {noteConfigRead, noteEra} from "../src/core/box-news.js"
@@ -18,8 +18,8 @@
 const ONE: RoutedOrganisation = {name: "one", keys: [KEY], priority: 1}
 const OPEN = {...ROUTE, anonymous: true}
 
-/** A key that was taken away is used no later than this, milliseconds. */
-const TAKEN_AWAY_MS = 5_000
+/** Longest time that a revoked key may still be accepted. */
+const REVOKED_MS = 5_000
 
 function configure(organisations: readonly RoutedOrganisation[]): FleetConfig {
   return {
@@ -36,13 +36,13 @@
   }
 }
 
-/** A box that read its configuration at 0. */
+/** Creates a box that read its configuration at time 0. */
 function createBox(organisations: readonly RoutedOrganisation[] = [ONE]): BoxServing {
   const box = createBoxServing({
     dataCentre: "a",
     retry: {ratio: 0, slack: 0, windowMs: 1},
     handoverMs: 0,
-    takenAwayMs: TAKEN_AWAY_MS,
+    takenAwayMs: REVOKED_MS,
     random: () => 0
   })
   box.table = buildRouteTable(configure(organisations))
@@ -50,7 +50,7 @@
   return box
 }
 
-function told(
+function accessOf(
   box: BoxServing,
   key: string | undefined,
   now: number,
@@ -60,54 +60,62 @@
   return access.granted ? (access.organisation?.name ?? "nobody") : access.reason
 }
 
-t.test("a key lets its organisation through, and no other key does", async t => {
+t.test("an organisation's key grants access, and no other key does", async t => {
   const box = createBox()
-  t.equal(told(box, KEY, 100), "one")
-  t.equal(told(box, OTHER, 100), "unknown-key")
-  t.equal(told(box, undefined, 100), "unknown-key")
-  t.equal(told(box, "", 100), "unknown-key")
-  t.equal(told(box, undefined, 100, OPEN), "nobody")
-  t.equal(told(box, OTHER, 100, OPEN), "nobody")
-  t.equal(told(box, KEY, 100, OPEN), "one", "whose key it is is known on any route")
-  t.equal(told(createBox([]), undefined, 100), "nobody", "without organisations")
+  t.equal(accessOf(box, KEY, 100), "one")
+  t.equal(accessOf(box, OTHER, 100), "unknown-key")
+  t.equal(accessOf(box, undefined, 100), "unknown-key")
+  t.equal(accessOf(box, "", 100), "unknown-key")
+  t.equal(accessOf(box, undefined, 100, OPEN), "nobody")
+  t.equal(accessOf(box, OTHER, 100, OPEN), "nobody")
+  t.equal(
+    accessOf(box, KEY, 100, OPEN),
+    "one",
+    "its organisation is found on an open route, too"
+  )
+  t.equal(accessOf(createBox([]), undefined, 100), "nobody", "without organisations")
 })
 
-t.test("a box that has not heard of late says of no key that it is unknown", async t => {
+t.test("a box without a recent store read calls no key unknown", async t => {
   const box = createBox()
-  t.equal(told(box, OTHER, 1_700), "unknown-key")
-  t.equal(told(box, OTHER, 1_701), "unknown-key-yet")
+  t.equal(accessOf(box, OTHER, 1_700), "unknown-key")
+  t.equal(accessOf(box, OTHER, 1_701), "unknown-key-yet")
 })
 
-// Pattern: a box is cut off from the store and from all boxes as a key is taken away.
+// A box is disconnected from the store and from all boxes when a key is revoked.
 t.test(
-  "no key counts by a reading that cannot show in time that it was taken away",
+  "no key is accepted by a store read too old to contain its revocation",
   async t => {
     const box = createBox()
-    t.equal(told(box, KEY, 4_500), "one")
-    t.equal(told(box, KEY, 4_501), "keys-too-old")
+    t.equal(accessOf(box, KEY, 4_500), "one")
+    t.equal(accessOf(box, KEY, 4_501), "keys-too-old")
     noteConfigRead(box, 4_400)
-    t.equal(told(box, KEY, 8_900), "one")
+    t.equal(accessOf(box, KEY, 8_900), "one")
     noteConfigRead(box, 100)
-    t.equal(told(box, KEY, 8_900), "one", "an older reading takes nothing back")
+    t.equal(accessOf(box, KEY, 8_900), "one", "an older read changes nothing")
   }
 )
 
 t.test(
-  "what an older copy of the store lacks is no proof that a key still holds",
+  "a read of a restored older backup does not prove that a key is valid",
   async t => {
     const box = createBox()
     noteEra(box, {era: 1, by: -60_000, risen: false}, false)
     noteConfigRead(box, 1_000)
     noteEra(box, {era: 2, by: 2_000, risen: true}, true)
     noteConfigRead(box, 3_000)
-    t.equal(told(box, KEY, 5_500), "one", "by the reading before")
-    t.equal(told(box, KEY, 5_501), "keys-too-old", "the copy may lack what took it away")
+    t.equal(accessOf(box, KEY, 5_500), "one", "by the read before the restore")
+    t.equal(
+      accessOf(box, KEY, 5_501),
+      "keys-too-old",
+      "the backup may lack the revocation"
+    )
     noteConfigRead(box, 12_000)
-    t.equal(told(box, KEY, 12_000), "one", "operators have written again")
+    t.equal(accessOf(box, KEY, 12_000), "one", "operators have repeated their writes")
   }
 )
 
-t.test("a request whose key is taken away while it waits does not run", async t => {
+t.test("a request whose key is revoked while it waits is not sent", async t => {
   const subject = new Subject()
   const {box} = subject
   box.table = buildRouteTable(configure([ONE]))
@@ -123,7 +131,7 @@
   t.equal(box.requests.size, 0)
 })
 
-t.test("a key is looked at once more as bytes leave", async t => {
+t.test("a key is checked again before bytes leave", async t => {
   const subject = new Subject()
   const {box, now} = subject
   box.table = buildRouteTable(configure([ONE]))
@@ -134,10 +142,10 @@
   hangUp(box, "q", now)
 })
 
-t.test("an organisation's rank goes before a route's", async t => {
+t.test("an organisation's priority takes precedence over a route's", async t => {
   const routes = [0, 1, 2].map(priority => ({...ROUTE, priority}))
   const plain = rankRequests({...configure([]), routes})
-  t.equal(plain(undefined, 2), 2, "without organisations the route's stands")
+  t.equal(plain(undefined, 2), 2, "without organisations the route's applies")
   const urgent = {...ONE, name: "urgent", priority: 0}
   const none = {name: "none", keys: []}
   const rank = rankRequests({...configure([ONE, urgent, none]), routes})
@@ -146,6 +154,6 @@
   const many = Array.from({length: 9}, (_, i) => ({...ONE, priority: i}))
   const rough = rankRequests({...configure(many), routes})
   t.equal(rough(0, 0), 0)
-  t.equal(rough(8, 2), 9, "engines know no rank past 9")
+  t.equal(rough(8, 2), 9, "the highest rank of engines is 9")
   t.ok(rough(3, 2) <= rough(4, 0))
 })
--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -1,4 +1,4 @@
-/** Whom boxes blame as servers crash: guilty requests are stopped soon, and others go on. */
+/** Requests that crash servers: they are quarantined soon, and other requests are served. */
 import t from "tap"
 import {CrashList, TRIALS_MS} from "../src/core/crash-list.js"
 import {
@@ -18,16 +18,16 @@
   guiltyFromMs: 5_000
 }
 
-/** Records that a box may hold. */
+/** Most records that a box may hold. */
 const MOST_RECORDS = 512
 
-/** A guilty request reaches servers so often at most, later than 3 s after its third crash. */
+/** Most sends of a guilty request later than 3 s after its third crash. */
 const MOST_LATE = 3
 
-/** Of the other requests, the part that may be refused as guilty while servers crash one after another. */
+/** Share of the other requests that may be refused while servers crash one after another. */
 const REFUSED_SHARE = 0.002
 
-function tell(result: CrashingResult): string {
+function describe(result: CrashingResult): string {
   const {crashes, lateReaches, others, refused, popularRefused} = result
   return (
     `${crashes} crashes, ${lateReaches} late; ` +
@@ -37,12 +37,12 @@
 
 const PATTERNS: Readonly<Record<string, Partial<CrashingOptions>>> = {
   "one guilty request": {},
-  "one that comes ten times a second": {guiltyPerSecond: 10},
+  "one guilty request ten times per second": {guiltyPerSecond: 10},
   "four guilty requests": {guilty: 4, servers: 12, perSecond: 120},
   "60 boxes before 30 servers": {boxes: 60, servers: 30, perSecond: 300},
   "resets of all connections": {guilty: 0, resetsAt: [5_000, 5_500, 6_000, 6_500]},
   "resets while servers crash": {resetsAt: [5_500, 5_800, 9_000]},
-  "a leader out of reach for two seconds": {leaderAway: [6_000, 8_000]}
+  "a leader that is unreachable for two seconds": {leaderAway: [6_000, 8_000]}
 }
 
 for (const [name, options] of Object.entries(PATTERNS)) {
@@ -50,7 +50,7 @@
     t.test(`${name}, seed ${seed}`, async t => {
       const result = playCrashing({...LOAD, ...options, seed})
       const {lateReaches, others, refused, popularRefused} = result
-      t.comment(tell(result))
+      t.comment(describe(result))
       t.ok(lateReaches <= MOST_LATE, `${lateReaches} late`)
       t.equal(popularRefused, 0)
       t.ok(refused <= others * REFUSED_SHARE, `${refused} of ${others} refused`)
@@ -58,18 +58,18 @@
   }
 }
 
-/** Nothing has been answered yet that would tell the popular request from the guilty one. */
+/** No answer distinguishes the popular request from the guilty one yet. */
 for (const seed of [1, 2, 3, 4, 5]) {
-  t.test(`servers that crash from the first moment on, seed ${seed}`, async t => {
+  t.test(`servers that crash from the start, seed ${seed}`, async t => {
     const options = {...LOAD, guiltyFromMs: 0, guiltyPerSecond: 10, seed}
     const result = playCrashing(options)
-    t.comment(tell(result))
+    t.comment(describe(result))
     t.ok(result.lateReaches <= MOST_LATE, `${result.lateReaches} late`)
-    t.equal(result.refusedAtEnd, 0, "none is refused any more")
+    t.equal(result.refusedAtEnd, 0, "no request is refused any more")
   })
 }
 
-t.test("a caller that makes up bodies takes a bounded memory", async t => {
+t.test("a caller with ever new bodies uses bounded memory", async t => {
   const options = {...LOAD, madeUp: true, guiltyPerSecond: 20, servers: 40, seconds: 60}
   const {records, popularRefused, crashes} = playCrashing(options)
   t.comment(`${crashes} crashes, ${records} records`)
@@ -78,7 +78,7 @@
 })
 
 t.test(
-  "a request is stopped by crashes of three lives, and a life counts once",
+  "three crashed incarnations quarantine a request, and each counts once",
   async t => {
     const crashes = new CrashList()
     t.equal(crashes.add("f", "one", 0), true)
@@ -90,13 +90,13 @@
   }
 )
 
-t.test("lists are alike whatever the order in which boxes merge them", async t => {
+t.test("lists are equal in whatever order boxes merge them", async t => {
   const [one, other] = [new CrashList(), new CrashList()]
   one.add("f", "a", 0)
   one.add("f", "b", 0)
   other.add("f", "c", 0)
   const [mine, theirs] = [one.tell(5), other.tell(5)]
-  t.same(one.tellMissing(theirs, 5), mine, "the other lacks two lives")
+  t.same(one.tellMissing(theirs, 5), mine, "the other list lacks two incarnations")
   for (const record of theirs) one.merge(record, 5)
   for (const record of mine) other.merge(record, 5)
   t.ok(one.isStopped("f"))
@@ -104,24 +104,24 @@
   t.same(one.tellMissing(other.tell(5), 5), [])
 })
 
-t.test("a stopped request is tried twice at most, whoever leads", async t => {
+t.test("a quarantined request is tried at most twice, by any leader", async t => {
   const [first, next] = [new CrashList(), new CrashList()]
-  for (const life of ["a", "b", "c"]) first.add("f", life, 0)
+  for (const incarnation of ["a", "b", "c"]) first.add("f", incarnation, 0)
   t.equal(first.trialInMs("f", 1_000), TRIALS_MS[0] - 1_000)
   t.equal(first.trialInMs("f", TRIALS_MS[0]), 0)
   first.noteTrial("f", TRIALS_MS[0])
   for (const record of first.tell(TRIALS_MS[0])) next.merge(record, TRIALS_MS[0])
-  t.ok(next.trialInMs("f", TRIALS_MS[0]) > 0, "its trial counts at other boxes")
+  t.ok(next.trialInMs("f", TRIALS_MS[0]) > 0, "a trial counts on other boxes, too")
   next.noteTrial("f", 100_000)
   t.ok(next.trialInMs("f", 3_600_000) > 0)
   t.ok(next.isStopped("f"))
 })
 
-// A new leader that did not hear of a trial would begin it again.
-t.test("a leader that has not heard of a trial is told of it", async t => {
+// A new leader that missed a trial would repeat it.
+t.test("a leader that missed a trial is informed of it", async t => {
   const [follower, leader] = [new CrashList(), new CrashList()]
   for (const crashes of [follower, leader]) {
-    for (const life of ["a", "b", "c"]) crashes.add("f", life, 0)
+    for (const incarnation of ["a", "b", "c"]) crashes.add("f", incarnation, 0)
   }
   follower.noteTrial("f", TRIALS_MS[0])
   for (const record of follower.tellMissing(leader.tell(6_000), 6_000)) {
@@ -130,9 +130,9 @@
   t.ok(leader.trialInMs("f", 6_000) > 0)
 })
 
-t.test("what has the fewest crashes makes way", async t => {
+t.test("requests with the fewest crashes are removed first", async t => {
   const crashes = new CrashList()
-  for (const life of ["a", "b", "c"]) crashes.add("stopped", life, 0)
+  for (const incarnation of ["a", "b", "c"]) crashes.add("stopped", incarnation, 0)
   for (let i = 0; i < 2_000; i++) crashes.add(`f-${i}`, "a", i)
   t.ok(crashes.size <= MOST_RECORDS)
   t.ok(crashes.isStopped("stopped"))
--- a/test/server-rates-core.test.ts
+++ b/test/server-rates-core.test.ts
@@ -1,4 +1,4 @@
-/** The decisions behind rates that servers name: which word counts, and what the leader and a box give out. */
+/** Advertised rate limits: which one applies, and which sends the leader and a box allow. */
 import t from "tap"
 import {RatePacer} from "../src/core/rate-pacer.js"
 import {RecentSends} from "../src/core/recent-sends.js"
@@ -17,55 +17,63 @@
 }
 const NEED = {count: 1, rank: 1, waitMs: 200}
 
-/** A word on a request sent and answered then. */
-const word = (perSecond: number | undefined, sentAt: number, heardAt: number) => ({
+/** Creates a rate from an answer with these times. */
+const advertised = (perSecond: number | undefined, sentAt: number, heardAt: number) => ({
   perSecond,
   sentAt,
   heardAt
 })
 
-t.test("only an answer to a request sent after it was heard ends a rate", async t => {
+t.test("only an answer to a request sent after a rate was received ends it", async t => {
   const rates = new ServerRates()
-  t.equal(rates.take(S, word(undefined, 0, 1)), false, "there is none to end")
-  t.equal(rates.take(S, word(1.2, 0, 10)), true)
-  t.equal(rates.take(S, word(undefined, 5, 11)), false, "overtaken")
+  t.equal(rates.take(S, advertised(undefined, 0, 1)), false, "there is none to end")
+  t.equal(rates.take(S, advertised(1.2, 0, 10)), true)
+  t.equal(
+    rates.take(S, advertised(undefined, 5, 11)),
+    false,
+    "the request was sent before the rate was received"
+  )
   t.equal(rates.of(S), 1.2)
-  t.equal(rates.take(S, word(undefined, 11, 12)), true)
+  t.equal(rates.take(S, advertised(undefined, 11, 12)), true)
   t.equal(rates.of(S), undefined)
-  t.equal(rates.take(S, word(1.2, 0, 10.5)), false, "older than its end")
+  t.equal(
+    rates.take(S, advertised(1.2, 0, 10.5)),
+    false,
+    "older than the end of the rate"
+  )
   t.equal(rates.of(S), undefined)
 })
 
 t.test(
-  "of two rates given in either order the lower one counts, else the newer",
+  "of two rates in unknown order the lower one applies, otherwise the newer",
   async t => {
     const rates = new ServerRates()
-    rates.take(S, word(2, 0, 10))
-    rates.take(S, word(5, 5, 12))
+    rates.take(S, advertised(2, 0, 10))
+    rates.take(S, advertised(5, 5, 12))
     t.equal(rates.of(S), 2)
-    rates.take(S, word(5, 13, 14))
+    rates.take(S, advertised(5, 13, 14))
     t.equal(rates.of(S), 5)
-    rates.take(S, word(1, 6, 12.5))
-    t.equal(rates.of(S), 5, "given before")
+    rates.take(S, advertised(1, 6, 12.5))
+    t.equal(rates.of(S), 5, "sent before")
   }
 )
 
-t.test("a word that is passed on never ends a newer one", async t => {
+t.test("a rate received by another box never ends a newer one", async t => {
   const rates = new ServerRates()
-  rates.take(S, word(3, 990, 1_000))
+  rates.take(S, advertised(3, 990, 1_000))
   const ended = {server: S, sentAgoMs: 100, heardAgoMs: 90}
   t.equal(rates.takeNews(ended, 1_200), "stands", "it may have been sent earlier")
   t.equal(rates.takeNews({...ended, sentAgoMs: 100}, 2_000), "changed")
   t.equal(rates.takeNews({...ended, perSecond: 3}, 2_050), "changed")
 })
 
-t.test("what is remembered of servers is bounded", async t => {
+t.test("the number of remembered rates is bounded", async t => {
   const rates = new ServerRates()
-  for (let i = 0; i < 5_000; i++) rates.take(`s${i}`, word(1, i, i))
+  for (let i = 0; i < 5_000; i++) rates.take(`s${i}`, advertised(1, i, i))
   t.ok(rates.list().length <= 2_000)
 })
 
-t.test("the leader counts what boxes sent before they knew", async t => {
+t.test("the leader counts what boxes sent before they knew the rate", async t => {
   const pacer = new RatePacer(() => 1)
   pacer.noteSent({server: S, counts: [2, 2]}, 0)
   const ask = {server: S, ask: 1, count: 1, rank: 0, waitMs: 0}
@@ -73,8 +81,8 @@
   t.equal(pacer.ask("a", ask, 4_300).count, 1)
 })
 
-// The leader ignores what was sent to servers of which it knows no rate.
-t.test("a box tells the rate before it tells what it sent", async t => {
+// The leader ignores sends to servers whose rate it does not know.
+t.test("a box reports a rate before its sends", async t => {
   const {box, now} = new Subject()
   box.recentSends.note(S, now)
   box.effects = []
@@ -83,8 +91,9 @@
   t.same(told, ["rate-news", "sent-lately"])
 })
 
-// A leader that is told that no engine helps loads the weights at one after the other.
-t.test("only servers that hold its weights and have no room fail a request", async t => {
+// If all engines were reported as failed, the leader would load the weights on one after
+// the other.
+t.test("only servers that hold the weights and have no room count as failed", async t => {
   const subject = new Subject()
   const {box, now} = subject
   for (const server of ["one", "two"]) {
@@ -100,14 +109,14 @@
   t.same(need?.type === "need" && need.need.failedAt, ["one"])
 })
 
-t.test("what many boxes sent before is kept by time alone", async t => {
+t.test("the history of a server does not grow with the number of boxes", async t => {
   const pacer = new RatePacer(() => 10_000)
   const counts = Array.from({length: 16}, () => 1)
   for (let box = 0; box < 200; box++) pacer.noteSent({server: S, counts}, box)
-  t.ok(pacer.stepsOf(S) <= 20, `${pacer.stepsOf(S)} steps`)
+  t.ok(pacer.stepsOf(S) <= 20, `${pacer.stepsOf(S)} entries`)
 })
 
-t.test("an urgent request is given in advance what others are not", async t => {
+t.test("only an urgent request gets an allowance in advance", async t => {
   const pacer = new RatePacer(() => 5)
   const ask = {server: S, ask: 1, count: 1, waitMs: 250}
   pacer.ask("a", {...ask, rank: 9}, 0)
@@ -115,10 +124,14 @@
   const urgent = pacer.ask("b", {...ask, rank: 0}, 50)
   t.equal(urgent.count, 1)
   t.ok((urgent.inMs ?? 0) > 100, `in ${urgent.inMs} ms`)
-  t.equal(pacer.ask("c", {...ask, rank: 0}, 60).count, 0, "the next one is too far")
+  t.equal(
+    pacer.ask("c", {...ask, rank: 0}, 60).count,
+    0,
+    "the next allowance is too far off"
+  )
 })
 
-t.test("a server that names 0 is sent a request at times", async t => {
+t.test("a server that advertises 0 still gets some requests", async t => {
   const pacer = new RatePacer(() => 0)
   let given = 0
   for (let now = 0; now < 60_000; now += 100) {
@@ -127,7 +140,7 @@
   t.ok(given >= 3 && given <= 6, `${given} in a minute`)
 })
 
-t.test("an allowance is of no use to a box that was suspended meanwhile", async t => {
+t.test("an allowance expires while its box is suspended", async t => {
   const box = new SendAllowances()
   const ask = box.collect(S, NEED, false, 0)
   t.ok(ask)
@@ -136,7 +149,7 @@
   t.notOk(box.holds(S, 3_000))
 })
 
-t.test("without an answer a box keeps to its own part", async t => {
+t.test("without an answer a box keeps to its fallback share", async t => {
   const box = new SendAllowances()
   box.collect(S, NEED, false, 0)
   t.notOk(box.isSilent(S, 100))
@@ -149,7 +162,7 @@
     box.use(S, now)
     sent++
   }
-  t.equal(sent, 5, "half of one a second")
+  t.equal(sent, 5, "half of one per second")
 })
 
 t.test("sends of the last seconds are counted by age", async t => {
--- a/test/store-calls.test.ts
+++ b/test/store-calls.test.ts
@@ -1,4 +1,4 @@
-/** The platform's store as its client sees it when connections go silent. */
+/** The client of the platform's store when connections go silent. */
 import {type AddressInfo, createServer, type Socket} from "node:net"
 import {setFlagsFromString} from "node:v8"
 import {runInNewContext} from "node:vm"
@@ -19,7 +19,7 @@
   connections = 0
   private readonly silent_ = new Set<Socket>()
   private readonly sockets_ = new Set<Socket>()
-  private readonly server_ = createServer(socket => this.take(socket))
+  private readonly server_ = createServer(socket => this.handle(socket))
 
   async listen(): Promise<string> {
     await new Promise<void>(resolve =>
@@ -28,7 +28,7 @@
     return `127.0.0.1:${(this.server_.address() as AddressInfo).port}`
   }
 
-  /** The connections that there are say nothing from now on; new ones work. */
+  /** Silences all open connections. New ones work. */
   silence(): void {
     for (const socket of this.sockets_) this.silent_.add(socket)
   }
@@ -38,7 +38,7 @@
     this.server_.close()
   }
 
-  private take(socket: Socket): void {
+  private handle(socket: Socket): void {
     this.connections++
     this.sockets_.add(socket)
     socket.on("error", () => undefined)
@@ -64,8 +64,9 @@
   }
 }
 
-// A limit that only a combined signal refers to may be collected, and then never ends its call.
-t.test("a watch ends in time, whatever is collected meanwhile", async t => {
+// A timeout that only a combined signal refers to may be garbage-collected, and then never
+// ends its call.
+t.test("a watch times out even if garbage is collected meanwhile", async t => {
   const {store, kv} = await connect()
   t.teardown(() => store.close())
   const abort = new AbortController()
@@ -83,8 +84,8 @@
   t.equal(await Promise.race([watch, sleep(2_000)]), "failed")
 })
 
-// Each of several kept connections that went silent would have cost a call its whole limit.
-t.test("after a connection that went silent calls go over new ones", async t => {
+// Otherwise each silent connection of the pool costs a call its whole timeout.
+t.test("after a connection went silent, calls use new connections", async t => {
   const {store, kv} = await connect()
   t.teardown(() => store.close())
   await Promise.all([1, 2, 3].map(() => kv.list("a/")))
@@ -92,8 +93,8 @@
   store.silence()
   const late = kv.list("a/").catch(() => "late")
   await sleep(LATE_MS + 50)
-  const asked = performance.now()
+  const startedAt = performance.now()
   t.match(await kv.list("a/"), {entries: []})
-  t.ok(performance.now() - asked < LATE_MS)
+  t.ok(performance.now() - startedAt < LATE_MS)
   t.equal(await late, "late")
 })
