--- a/src/core/cell-evict.ts
+++ b/src/core/cell-evict.ts
@@ -1,6 +1,7 @@
 /**
- * Evictions. The one dangerous order: an adapter in use must never be unloaded, so a pair is
- * first recalled from the entries that hold it, and every doubt means that it stays.
+ * Evictions. An adapter in use must never be unloaded, so it is first recalled from the
+ * entries that hold it, and it stays loaded unless every holder is known to have released
+ * it.
  */
 import {
   type CellDraft,
@@ -16,10 +17,10 @@
 import type {CellContext} from "./cell-context.js"
 import {viewEngine} from "./cell-views.js"
 
-/** How long entries have to give a pair back before another one is tried. */
+/** How long entries have to release a recalled adapter before it is kept. */
 const RECALL_TIMEOUT_MS = 1_000
 
-/** Slots about to become free: one load each waits for them. */
+/** Counts the slots that are being freed. Each serves one wanted load. */
 export function countRoom(draft: CellDraft): number {
   let count = 0
   for (const engine of draft.engines.values()) {
@@ -30,7 +31,7 @@
   return count
 }
 
-/** Picks a victim on the best engine that has one, and recalls it from its holders. */
+/** Recalls a victim from its holders, on the best-ranked engine that has one. */
 export function startDrain(
   draft: CellDraft,
   context: CellContext,
@@ -39,7 +40,7 @@
   if (!context.mayEvict) return
   for (const engineId of ranked) {
     const engine = draft.engines.get(engineId)
-    if (!engine || isBlocked(draft, context, engineId, engine)) continue
+    if (!engine || isEvictionBlocked(draft, context, engineId, engine)) continue
     const victim = pickVictim(draft, context, engineId, engine)
     if (victim === undefined) continue
     recall(draft, context, engineId, engine, victim)
@@ -47,32 +48,32 @@
   }
 }
 
-/** Unloads what was given back; gives up on what is not given back in time. */
+/** Unloads recalled adapters that were released; keeps those not released in time. */
 export function drainPairs(draft: CellDraft, context: CellContext): void {
   for (const [engineId, engine] of draft.engines) {
-    for (const [model, pair] of engine.pairs) {
-      if (pair.phase === "draining")
-        drainPair(draft, context, engineId, engine, model, pair)
+    for (const [model, adapter] of engine.pairs) {
+      if (adapter.phase === "draining")
+        finishEviction(draft, context, engineId, engine, model, adapter)
     }
   }
 }
 
-function drainPair(
+function finishEviction(
   draft: CellDraft,
   context: CellContext,
   engineId: string,
   engine: Engine,
   model: string,
-  pair: Pair
+  adapter: Pair
 ): void {
   const holders = draft.holders.get(pairKey(engineId, model))
-  const blocked = isBlocked(draft, context, engineId, engine)
+  const blocked = isEvictionBlocked(draft, context, engineId, engine)
   if (context.mayEvict && !blocked && !holders && !isRunning(draft, engineId, model)) {
-    setPair(draft, engineId, model, {...pair, phase: "unloading", since: draft.now})
+    setPair(draft, engineId, model, {...adapter, phase: "unloading", since: draft.now})
     giveOrder(draft, engineId, {order: "unload", model})
     return
   }
-  if (draft.now - pair.since < RECALL_TIMEOUT_MS) return
+  if (draft.now - adapter.since < RECALL_TIMEOUT_MS) return
   setPair(draft, engineId, model, {
     phase: "loaded",
     since: draft.now,
@@ -92,7 +93,7 @@
   return ranked.find(model => {
     if (engine.pairs.get(model)?.phase !== "loaded") return false
     if (isRunning(draft, engineId, model) || view.models.get(model)?.waiting) return false
-    return !heldInSilence(draft, context, engineId, model)
+    return !isHeldBySilent(draft, context, engineId, model)
   })
 }
 
@@ -103,9 +104,9 @@
   engine: Engine,
   model: string
 ): void {
-  const pair = engine.pairs.get(model)
-  if (!pair) return
-  setPair(draft, engineId, model, {...pair, phase: "draining", since: draft.now})
+  const adapter = engine.pairs.get(model)
+  if (!adapter) return
+  setPair(draft, engineId, model, {...adapter, phase: "draining", since: draft.now})
   const policy = nameDeciding(draft, context)
   note(draft, "recall", {engine: engineId, model, policy})
   const {id: cell, fence} = draft.base
@@ -125,8 +126,8 @@
   return false
 }
 
-/** Held by an entry whose link is down: it cannot be asked to give the pair back. */
-function heldInSilence(
+/** Whether an entry without a live link holds the adapter: it can't receive a recall. */
+function isHeldBySilent(
   draft: CellDraft,
   context: CellContext,
   engineId: string,
@@ -138,8 +139,11 @@
   return false
 }
 
-/** No eviction on an engine while an entry may be using it that this owner has not heard. */
-function isBlocked(
+/**
+ * Whether evictions on the engine must wait because an entry that has sent no inventory
+ * may be using it. Orders the engine to cancel the requests of silent entries first.
+ */
+function isEvictionBlocked(
   draft: CellDraft,
   context: CellContext,
   engineId: string,
@@ -150,7 +154,7 @@
   return false
 }
 
-/** On engines that check fences, ends what silent entries may have in progress there. */
+/** Cancels the requests of silent entries on an engine that checks fencing tokens. */
 function cancelSilent(
   draft: CellDraft,
   context: CellContext,
@@ -161,13 +165,13 @@
   for (const [entry, since] of context.silentSince) {
     if (draft.now - since < context.timing.entrySilentMs) continue
     if (engine.cancelled.has(entry) || engine.cancelling.has(entry)) continue
-    if (!mayUse(draft, engineId, engine, entry)) continue
+    if (!mayBeUsing(draft, engineId, engine, entry)) continue
     updateEngine(draft, engineId, {cancelling: new Set(engine.cancelling).add(entry)})
     giveOrder(draft, engineId, {order: "cancel", entry, grant: draft.grants})
   }
 }
 
-function mayUse(
+function mayBeUsing(
   draft: CellDraft,
   engineId: string,
   engine: Engine,
--- a/src/core/cell-schedule.ts
+++ b/src/core/cell-schedule.ts
@@ -1,4 +1,4 @@
-/** Who is served where, what is loaded, and what goes: one pass over a cell's waiting requests. */
+/** A scheduling pass over a cell: grants requests, and starts loads and evictions. */
 import {REQUEST_CLASSES} from "../types/config.js"
 import {countWhere} from "../utils/collections.js"
 import {type CellContext, isUsable, refuse, RETRY_AFTER_MS} from "./cell-context.js"
@@ -17,21 +17,21 @@
 } from "./cell-state.js"
 import {viewEngine, viewRequest} from "./cell-views.js"
 
-/** Loads that may be saved up while nobody needs one. */
-const MAX_TOKENS = 2
+/** Capacity of the token bucket that limits loads. */
+const MAX_LOAD_TOKENS = 2
 
-/** Gives up what waited too long, serves what can be served, loads what is missing. */
+/** Refuses expired requests, grants what can be served, and loads missing adapters. */
 export function scheduleCell(draft: CellDraft, context: CellContext): void {
   refillTokens(draft, context)
   expireWaiting(draft)
-  const wanted = serveWaiting(draft, context)
+  const wanted = grantWaiting(draft, context)
   if (wanted.size > 0) loadWanted(draft, context, wanted)
   drainPairs(draft, context)
 }
 
 function refillTokens(draft: CellDraft, {loadsPerSecond}: CellContext): void {
   const gained = ((draft.now - draft.tokensAt) / 1000) * loadsPerSecond
-  draft.tokens = Math.min(MAX_TOKENS, draft.tokens + gained)
+  draft.tokens = Math.min(MAX_LOAD_TOKENS, draft.tokens + gained)
   draft.tokensAt = draft.now
 }
 
@@ -42,21 +42,21 @@
   }
 }
 
-/** Grants what it can; returns the adapters that want a load, most urgent first. */
-function serveWaiting(draft: CellDraft, context: CellContext): Map<string, Waiting> {
+/** Grants waiting requests; returns the adapters that need a load, most urgent first. */
+function grantWaiting(draft: CellDraft, context: CellContext): Map<string, Waiting> {
   const wanted = new Map<string, Waiting>()
-  const full = new Set<string>()
+  const unservable = new Set<string>()
   if (draft.waiting.size === 0) return wanted
-  for (const waiting of inOrderOfDue(draft, context)) {
-    if (isLimited(draft, context, waiting)) continue
-    if (!full.has(waiting.model) && grantOne(draft, context, waiting)) continue
-    full.add(waiting.model)
+  for (const waiting of sortByDueTime(draft, context)) {
+    if (hasReachedLimit(draft, context, waiting)) continue
+    if (!unservable.has(waiting.model) && tryGrant(draft, context, waiting)) continue
+    unservable.add(waiting.model)
     if (!wanted.has(waiting.model)) wanted.set(waiting.model, waiting)
   }
   return wanted
 }
 
-function inOrderOfDue(draft: CellDraft, context: CellContext): Waiting[] {
+function sortByDueTime(draft: CellDraft, context: CellContext): Waiting[] {
   const slack = decide(
     draft,
     context,
@@ -66,7 +66,7 @@
   return [...draft.waiting.values()].sort((a, b) => dueOf(a) - dueOf(b))
 }
 
-function grantOne(draft: CellDraft, context: CellContext, waiting: Waiting): boolean {
+function tryGrant(draft: CellDraft, context: CellContext, waiting: Waiting): boolean {
   const ready = [...draft.engines].filter(([, engine]) =>
     canServe(draft, engine, waiting.model)
   )
@@ -82,8 +82,8 @@
   return true
 }
 
-/** Whether the organisation and class have as many requests in progress as the policy lets them. */
-function isLimited(
+/** Whether the organisation runs as many requests of the class as the policy allows. */
+function hasReachedLimit(
   draft: CellDraft,
   context: CellContext,
   {organisation, class: requestClass}: Waiting
@@ -116,7 +116,7 @@
     class: waiting.class
   })
   addHolder(draft, pairKey(engine, model), entry, draft.grants)
-  notePeak(draft, engine)
+  recordPeakRunning(draft, engine)
   setPair(draft, engine, model, {phase: "loaded", since: draft.now, lastUsed: draft.now})
   draft.effects.push({
     type: "send",
@@ -130,17 +130,17 @@
       model,
       grant: draft.grants,
       stallMs: waiting.cold ? draft.now - waiting.arrivedAt : 0,
-      fillPercent: fillOf(draft, engine)
+      fillPercent: fillPercentOf(draft, engine)
     }
   })
 }
 
-function notePeak(draft: CellDraft, id: string): void {
-  const known = draft.engines.get(id)?.peakRunning ?? 0
-  updateEngine(draft, id, {peakRunning: Math.max(known, countRunningOn(draft, id))})
+function recordPeakRunning(draft: CellDraft, id: string): void {
+  const peak = draft.engines.get(id)?.peakRunning ?? 0
+  updateEngine(draft, id, {peakRunning: Math.max(peak, countRunningOn(draft, id))})
 }
 
-function fillOf(draft: CellDraft, engineId: string): number {
+function fillPercentOf(draft: CellDraft, engineId: string): number {
   const maxBatch = draft.engines.get(engineId)?.server.maxBatch ?? 1
   return Math.round((countRunningOn(draft, engineId) / maxBatch) * 100)
 }
--- a/src/core/cell-state.ts
+++ b/src/core/cell-state.ts
@@ -1,84 +1,94 @@
-/** The state of a cell: the engines one keeper owns together, and who uses them for what. */
+/**
+ * The state of a cell: a group of engines that one keeper owns as a unit, the adapters on
+ * them, and the requests and entries that use them.
+ */
 import type {ModelEngine, RequestClass} from "../types/config.js"
 import type {KeeperMessage} from "../types/messages.js"
 
 /**
- * Where an adapter stands on an engine.
- * `draining`: recalled from the entries that hold it, to be unloaded.
- * `doubtful`: an order's answer was lost; used for nothing until the engine was asked.
+ * State of an adapter on an engine.
+ * `draining`: recalled from the entries that hold it, and unloaded once they release it.
+ * `doubtful`: the outcome of an order is unknown. The adapter is not used until the
+ * engine has listed its adapters.
  */
 export type PairPhase = "loading" | "loaded" | "draining" | "unloading" | "doubtful"
 
+/** An adapter on an engine. */
 export interface Pair {
   readonly phase: PairPhase
+  /** Time at which the phase was last set. */
   readonly since: number
   readonly lastUsed: number
 }
 
 export interface Engine {
   readonly server: ModelEngine
-  /** Leaving by the platform's word or its own: gets nothing new. */
+  /** Leaving, by the platform's box list or its own report: gets no new work. */
   readonly leaving: boolean
-  /** Leaving by its own word when it was last asked. */
+  /** Whether the engine itself reported that it is leaving, in its last list. */
   readonly saysLeaving: boolean
-  /** It refused a request: others are tried first until then. */
+  /** It gets no requests or loads until then, because it refused a request. */
   readonly avoidUntil: number
-  /** Its adapters are known: it was asked since the takeover and since its last restart. */
+  /** Whether it has listed its adapters since this keeper took over the cell. */
   readonly listed: boolean
+  /** Whether a list order is pending. */
   readonly listing: boolean
-  /** Not to be asked or ordered before this time; pushed back by failures. */
+  /** Earliest time of the next list order. */
   readonly quietUntil: number
   readonly pairs: ReadonlyMap<string, Pair>
-  /** Fence-checking engines only: entries whose requests it was asked to cancel. */
+  /** Entries whose requests it was ordered to cancel, if it checks fencing tokens. */
   readonly cancelling: ReadonlySet<string>
-  /** Entries whose requests it confirmed to have cancelled; it refuses their earlier grants. */
+  /** Entries whose requests it has cancelled; it refuses their earlier grants. */
   readonly cancelled: ReadonlySet<string>
-  /** Requests it reported that are not of this cell's granting; late. */
+  /** Requests in its last report that this cell didn't grant. Reports are delayed. */
   readonly foreign: number
-  /** The most requests of the cell it had at once since its last report. */
+  /** Maximum of concurrent requests of the cell since its last report. */
   readonly peakRunning: number
-  /** The last cache event taken. */
+  /** Sequence number of the last cache event applied. */
   readonly cacheSeq: number
-  /** Keys of prefixes it has cached, as far as is known; late, and with gaps. */
+  /** Keys of cached prompt prefixes, from delayed cache events that may have gaps. */
   readonly prefixes: ReadonlySet<string>
 }
 
+/** A request that waits for a grant. */
 export interface Waiting {
   readonly request: string
   readonly entry: string
   readonly organisation: string
   readonly class: RequestClass
   readonly model: string
-  /** Names the start of the prompt, for prefix caches; empty when there is none. */
+  /** Key of the prompt's prefix, for prefix caches. Empty if the request has none. */
   readonly prefix: string
   readonly arrivedAt: number
   readonly giveUpAt: number
-  /** Whether no engine had the adapter ready when the request came: it waits for a load. */
+  /** Whether no engine had the adapter loaded when the request arrived. */
   readonly cold: boolean
 }
 
+/** A granted request. */
 export interface Running {
   readonly request: string
   readonly entry: string
   readonly engine: string
   readonly model: string
-  /** Unknown of requests that an earlier owner granted. */
+  /** Undefined, as is the class, if an earlier owner granted the request. */
   readonly organisation?: string
   readonly class?: RequestClass
 }
 
-/** How often an adapter is asked for: a count that halves with time. */
+/** Demand for an adapter: a request count that decays exponentially with time. */
 export interface Heat {
   readonly score: number
   readonly at: number
 }
 
-/** A load that failed, and when it may be tried again. */
+/** Consecutive failed loads of an adapter, and the earliest time of a retry. */
 export interface LoadFailure {
   readonly count: number
   readonly retryAt: number
 }
 
+/** Failed decisions of a policy. */
 export interface PolicyFaults {
   readonly policy: string
   readonly count: number
@@ -86,33 +96,35 @@
 
 export interface CellState {
   readonly id: string
+  /** Fencing token of this term of ownership. */
   readonly fence: number
   readonly takenAt: number
   readonly engines: ReadonlyMap<string, Engine>
   readonly waiting: ReadonlyMap<string, Waiting>
   readonly running: ReadonlyMap<string, Running>
-  /** For each pair, the entries that may be using it, each with its last grant. */
+  /** Entries that may be using an adapter, each with its last grant; by `pairKey`. */
   readonly holders: ReadonlyMap<string, ReadonlyMap<string, number>>
-  /** Entries that have not yet told this owner what they hold. */
+  /** Entries that have not yet sent this owner their inventory. */
   readonly awaited: ReadonlySet<string>
   readonly heat: ReadonlyMap<string, Heat>
   readonly failures: ReadonlyMap<string, LoadFailure>
+  /** Number of the last grant. */
   readonly grants: number
-  /** Decisions in which a policy failed; of the last one that did. */
+  /** Faults of the policy that failed last. */
   readonly policyFaults: PolicyFaults
-  /** Load budget: tokens at `tokensAt`. */
+  /** Content of the token bucket that limits loads, at `tokensAt`. */
   readonly tokens: number
   readonly tokensAt: number
 }
 
-/** An order to an engine. Load and unload carry the owner's fence. */
+/** An order to an engine. Loads and unloads carry the owner's fencing token. */
 export type EngineOrder =
   | {readonly order: "load"; readonly model: string; readonly weights: string}
   | {readonly order: "unload"; readonly model: string}
   | {readonly order: "list"; readonly cacheAfter: number}
   | {readonly order: "cancel"; readonly entry: string; readonly grant: number}
 
-/** What a cell wants done. */
+/** Effects of a cell. */
 export type CellEffect =
   | {readonly type: "send"; readonly to: string; readonly message: KeeperMessage}
   | {
@@ -125,9 +137,10 @@
   | {readonly type: "probe"; readonly entry: string}
   | {readonly type: "note"; readonly event: CellNote; readonly fields: NoteFields}
 
+/** Fields of a log event. */
 export type NoteFields = Readonly<Record<string, string | number | boolean>>
 
-/** The events of the catalogue that a cell can raise. */
+/** Log events of a cell. */
 export type CellNote =
   | "load-started"
   | "load-failed"
@@ -141,7 +154,7 @@
   | "policy-fault"
   | "policy-suspended"
 
-/** A working copy of a cell: maps may be changed until `closeCell`, and nobody else sees it. */
+/** A mutable copy of a cell, private to one transition. */
 export interface CellDraft {
   readonly base: CellState
   readonly now: number
@@ -159,7 +172,7 @@
   readonly effects: CellEffect[]
 }
 
-/** The state of a cell just taken over: nothing is known of its engines. */
+/** Returns the state of a cell after a takeover, without any state of its engines. */
 export function createCell(
   id: string,
   fence: number,
@@ -184,7 +197,6 @@
   }
 }
 
-/** Opens a working copy. */
 export function openCell(cell: CellState, now: number): CellDraft {
   return {
     base: cell,
@@ -204,10 +216,9 @@
   }
 }
 
-/** Ends the work on a copy: the new state. */
+/** Returns the new state of the cell. */
 export function closeCell(draft: CellDraft): CellState {
-  const {base, engines, waiting, running, holders, heat, failures} = draft
-  const {awaited, grants, policyFaults, tokens, tokensAt} = draft
+  const {base, engines, waiting, running, holders, failures, policyFaults} = draft
   return {
     id: base.id,
     fence: base.fence,
@@ -216,37 +227,36 @@
     waiting,
     running,
     holders,
-    awaited,
-    heat,
+    awaited: draft.awaited,
+    heat: draft.heat,
     failures,
-    grants,
+    grants: draft.grants,
     policyFaults,
-    tokens,
-    tokensAt
+    tokens: draft.tokens,
+    tokensAt: draft.tokensAt
   }
 }
 
-/** The key of a pair in `holders`. */
+/** The key of an adapter on an engine, in `holders`. */
 export function pairKey(engine: string, model: string): string {
   return `${engine}|${model}`
 }
 
-/** Replaces an engine's pair, or removes it. */
+/** Sets the state of an adapter on an engine; `undefined` removes the adapter. */
 export function setPair(
   draft: CellDraft,
   engineId: string,
   model: string,
-  pair: Pair | undefined
+  adapter: Pair | undefined
 ): void {
   const engine = draft.engines.get(engineId)
   if (!engine) return
-  const pairs = new Map(engine.pairs)
-  if (pair) pairs.set(model, pair)
-  else pairs.delete(model)
-  draft.engines.set(engineId, {...engine, pairs})
+  const next = new Map(engine.pairs)
+  if (adapter) next.set(model, adapter)
+  else next.delete(model)
+  draft.engines.set(engineId, {...engine, pairs: next})
 }
 
-/** Changes fields of an engine. */
 export function updateEngine(
   draft: CellDraft,
   id: string,
@@ -256,13 +266,13 @@
   if (engine) draft.engines.set(id, {...engine, ...change})
 }
 
-/** Queues an order to an engine under the cell's fence. */
+/** Queues an order to an engine, with the cell's fencing token. */
 export function giveOrder(draft: CellDraft, engine: string, order: EngineOrder): void {
   const {id, fence} = draft.base
   draft.effects.push({type: "order", cell: id, engine, fence, order})
 }
 
-/** Queues a numbered event. */
+/** Queues a log event. */
 export function note(draft: CellDraft, event: CellNote, fields: NoteFields): void {
   draft.effects.push({type: "note", event, fields: {cell: draft.base.id, ...fields}})
 }
