--- a/src/core/cell-orders.ts
+++ b/src/core/cell-orders.ts
@@ -1,4 +1,4 @@
-/** What engines answer to orders, and what follows for the adapters they hold. */
+/** Applies the results of orders to engines to the state of a cell. */
 import type {CellDraft, Engine, EngineOrder} from "./cell-state.js"
 import {giveOrder, note, pairKey, setPair, updateEngine} from "./cell-state.js"
 import {type CacheReport, type LoadReport, takeReports} from "./cell-reports.js"
@@ -6,7 +6,7 @@
 import type {Timing} from "./timing.js"
 import {withoutItem} from "../utils/collections.js"
 
-/** An engine's answer. `lost`: it may or may not have acted. */
+/** Result of an order. `lost`: the engine may or may not have executed it. */
 export type OrderResult =
   | {
       readonly ok: true
@@ -20,12 +20,12 @@
       readonly reason: "refused" | "busy" | "no-slot" | "stale-fence" | "failed" | "lost"
     }
 
-/** How often an engine is asked for what it has, when nothing else made it doubtful. */
+/** Interval between list orders to an engine when no adapter is doubtful. */
 export const LIST_INTERVAL_MS = 2_000
 const LIST_RETRY_MS = 250
 const MAX_BACKOFF_DOUBLINGS = 5
 
-/** Takes an engine's answer to an order given at `sentAt`. */
+/** Applies the result of an order that was sent at `sentAt`. */
 export function takeOrderResult(
   draft: CellDraft,
   engineId: string,
@@ -36,13 +36,15 @@
 ): void {
   const engine = draft.engines.get(engineId)
   if (!engine) return
-  if (order.order === "list") takeList(draft, engineId, engine, result, sentAt)
-  if (order.order === "load") takeLoad(draft, engineId, order.model, result, timing)
-  if (order.order === "unload") takeUnload(draft, engineId, order.model, result)
-  if (order.order === "cancel") takeCancel(draft, engineId, engine, order.entry, result)
+  if (order.order === "list") handleListResult(draft, engineId, engine, result, sentAt)
+  if (order.order === "load")
+    handleLoadResult(draft, engineId, order.model, result, timing)
+  if (order.order === "unload") handleUnloadResult(draft, engineId, order.model, result)
+  if (order.order === "cancel")
+    handleCancelResult(draft, engineId, engine, order.entry, result)
 }
 
-/** Asks the engines whose state is unknown, doubtful or old. */
+/** Sends list orders to the engines that are due for one. */
 export function askEngines(draft: CellDraft): void {
   for (const [id, engine] of draft.engines) {
     if (engine.listing || engine.quietUntil > draft.now) continue
@@ -51,7 +53,7 @@
   }
 }
 
-function takeList(
+function handleListResult(
   draft: CellDraft,
   id: string,
   engine: Engine,
@@ -64,16 +66,20 @@
   }
   takeReports(draft, id, result.load, result.cache)
   const models = new Set(result.models ?? [])
-  for (const [model, pair] of engine.pairs) {
-    // An order given or answered since the list was asked for is newer than the list.
-    if (pair.since >= sentAt || pair.phase === "loading" || pair.phase === "unloading")
+  for (const [model, adapter] of engine.pairs) {
+    // A phase set after the list order was sent is newer than the list.
+    if (
+      adapter.since >= sentAt ||
+      adapter.phase === "loading" ||
+      adapter.phase === "unloading"
+    )
       continue
     if (models.has(model)) continue
     setPair(draft, id, model, undefined)
-    forgetCancels(draft, id)
+    resetCancels(draft, id)
     note(draft, "engine-restarted", {engine: id, model})
   }
-  for (const model of models) adoptModel(draft, id, engine, model)
+  for (const model of models) adoptAdapter(draft, id, engine, model)
   if (!engine.listed) note(draft, "engine-listed", {engine: id, models: models.size})
   updateEngine(draft, id, {
     listed: true,
@@ -84,25 +90,28 @@
   })
 }
 
-/** A restarted engine has forgotten whose requests it was to refuse: they are awaited again. */
-function forgetCancels(draft: CellDraft, id: string): void {
+/**
+ * Awaits the inventories of cancelled entries again: a restarted engine no longer refuses
+ * their requests.
+ */
+function resetCancels(draft: CellDraft, id: string): void {
   const cancelled = draft.engines.get(id)?.cancelled ?? new Set()
   if (cancelled.size === 0) return
   draft.awaited = new Set([...draft.awaited, ...cancelled])
   updateEngine(draft, id, {cancelled: new Set()})
 }
 
-function adoptModel(draft: CellDraft, id: string, engine: Engine, model: string): void {
-  const pair = engine.pairs.get(model)
-  if (pair && pair.phase !== "doubtful") return
+function adoptAdapter(draft: CellDraft, id: string, engine: Engine, model: string): void {
+  const adapter = engine.pairs.get(model)
+  if (adapter && adapter.phase !== "doubtful") return
   setPair(draft, id, model, {
     phase: "loaded",
     since: draft.now,
-    lastUsed: pair?.lastUsed ?? 0
+    lastUsed: adapter?.lastUsed ?? 0
   })
 }
 
-function takeLoad(
+function handleLoadResult(
   draft: CellDraft,
   id: string,
   model: string,
@@ -116,7 +125,7 @@
     return
   }
   note(draft, "load-failed", {engine: id, model, reason: result.reason})
-  if (result.reason === "lost") doubt(draft, id, model)
+  if (result.reason === "lost") markDoubtful(draft, id, model)
   else setPair(draft, id, model, undefined)
   if (result.reason === "failed") backOff(draft, model, timing)
   if (result.reason !== "failed") updateEngine(draft, id, {quietUntil: draft.now})
@@ -131,7 +140,7 @@
   })
 }
 
-function takeUnload(
+function handleUnloadResult(
   draft: CellDraft,
   id: string,
   model: string,
@@ -145,11 +154,11 @@
   if (result.reason === "busy") {
     setPair(draft, id, model, {phase: "loaded", since: draft.now, lastUsed: draft.now})
   } else {
-    doubt(draft, id, model)
+    markDoubtful(draft, id, model)
   }
 }
 
-function takeCancel(
+function handleCancelResult(
   draft: CellDraft,
   id: string,
   engine: Engine,
@@ -165,7 +174,7 @@
   for (const model of engine.pairs.keys()) dropHolder(draft, pairKey(id, model), entry)
 }
 
-function doubt(draft: CellDraft, id: string, model: string): void {
+function markDoubtful(draft: CellDraft, id: string, model: string): void {
   setPair(draft, id, model, {phase: "doubtful", since: draft.now, lastUsed: draft.now})
   updateEngine(draft, id, {quietUntil: draft.now})
 }
--- a/src/core/cell-requests.ts
+++ b/src/core/cell-requests.ts
@@ -1,13 +1,13 @@
-/** What entries tell a cell: asks, ends, releases, inventories, and their disappearance. */
+/** Handles messages of entries to a cell, and the removal of entries that are gone. */
 import type {Ask, Done, Inventory, Release} from "../types/messages.js"
 import {type CellDraft, note, pairKey, setPair, updateEngine} from "./cell-state.js"
 import {withoutItem} from "../utils/collections.js"
 import {HEAT_HALF_LIFE_MS} from "./policy.js"
 
-/** For how long an engine that refused a request is left alone. */
-const AVOID_MS = 500
+/** How long an engine gets no requests or loads after it refused a request. */
+const AVOID_REFUSING_ENGINE_MS = 500
 
-/** Queues a request until an engine that has its adapter can take it. */
+/** Queues a request until an engine that has its adapter loaded can serve it. */
 export function addAsk(draft: CellDraft, entry: string, ask: Ask): void {
   if (draft.running.has(ask.request) || draft.waiting.has(ask.request)) return
   draft.waiting.set(ask.request, {
@@ -21,24 +21,24 @@
     giveUpAt: draft.now + ask.patienceMs,
     cold: !isLoaded(draft, ask.model)
   })
-  warmUp(draft, ask.model)
+  recordDemand(draft, ask.model)
 }
 
-/** Counts the end of a request; a "not loaded" means the engine lost what it had. */
+/** Records the end of a request; "not-loaded" means that the engine lost the adapter. */
 export function endRequest(draft: CellDraft, entry: string, done: Done): void {
   const running = draft.running.get(done.request)
   if (running?.entry === entry) draft.running.delete(done.request)
   if (done.result === "not-loaded" && running)
-    doubtPair(draft, done.engine, running.model)
+    markDoubtful(draft, done.engine, running.model)
   if (done.result === "refused") {
     updateEngine(draft, done.engine, {
       quietUntil: draft.now,
-      avoidUntil: draft.now + AVOID_MS
+      avoidUntil: draft.now + AVOID_REFUSING_ENGINE_MS
     })
   }
 }
 
-/** Forgets that the entry may use the pair, unless it was granted again meanwhile. */
+/** Removes a holder of an adapter, unless a newer grant crossed the release. */
 export function releasePair(draft: CellDraft, entry: string, release: Release): void {
   if (release.fence !== draft.base.fence) return
   const key = pairKey(release.engine, release.model)
@@ -47,7 +47,7 @@
   dropHolder(draft, key, entry)
 }
 
-/** Replaces all that was known of an entry by what it says itself. */
+/** Replaces the recorded state of an entry by its inventory. */
 export function takeInventory(
   draft: CellDraft,
   entry: string,
@@ -55,7 +55,7 @@
 ): void {
   if (inventory.fence !== draft.base.fence) return
   forgetEntry(draft, entry)
-  // It is back: a cancel under way no longer speaks for what it does from now on.
+  // The entry is linked again: cancels ordered before don't cover its new requests.
   for (const [id, {cancelled, cancelling}] of draft.engines) {
     updateEngine(draft, id, {
       cancelled: withoutItem(cancelled, entry),
@@ -71,14 +71,14 @@
   }
 }
 
-/** Drops the waiting requests of an entry whose link is down: it asks again if it lives. */
+/** Removes the waiting requests of an entry; it sends them again over its next link. */
 export function dropWaiting(draft: CellDraft, entry: string): void {
   for (const [id, waiting] of draft.waiting) {
     if (waiting.entry === entry) draft.waiting.delete(id)
   }
 }
 
-/** Forgets an entry: it is certain that nothing of its is in progress. */
+/** Removes an entry that certainly has nothing in progress. */
 export function forgetEntry(draft: CellDraft, entry: string): void {
   dropWaiting(draft, entry)
   for (const [id, running] of draft.running) {
@@ -92,13 +92,13 @@
   }
 }
 
-/** As `forgetEntry`, on the word of evidence that it is dead. */
+/** Removes an entry that was found to be gone. */
 export function entryGone(draft: CellDraft, entry: string, evidence: string): void {
   forgetEntry(draft, entry)
   note(draft, "entry-gone", {entry, evidence})
 }
 
-/** Remembers that an entry may use a pair from now on. */
+/** Adds an entry to the holders of an adapter on an engine. */
 export function addHolder(
   draft: CellDraft,
   key: string,
@@ -108,7 +108,7 @@
   draft.holders.set(key, new Map(draft.holders.get(key)).set(entry, grant))
 }
 
-/** Removes an entry from the holders of a pair. */
+/** Removes an entry from the holders of an adapter on an engine. */
 export function dropHolder(draft: CellDraft, key: string, entry: string): void {
   const holders = draft.holders.get(key)
   if (!holders?.has(entry)) return
@@ -118,14 +118,14 @@
   else draft.holders.delete(key)
 }
 
-/** An adapter's heat now. */
+/** The decayed request count of an adapter. */
 export function heatOf(draft: CellDraft, model: string): number {
-  const heat = draft.heat.get(model)
-  if (!heat) return 0
-  return heat.score * 2 ** (-(draft.now - heat.at) / HEAT_HALF_LIFE_MS)
+  const popularity = draft.heat.get(model)
+  if (!popularity) return 0
+  return popularity.score * 2 ** (-(draft.now - popularity.at) / HEAT_HALF_LIFE_MS)
 }
 
-function warmUp(draft: CellDraft, model: string): void {
+function recordDemand(draft: CellDraft, model: string): void {
   draft.heat.set(model, {score: heatOf(draft, model) + 1, at: draft.now})
 }
 
@@ -137,11 +137,11 @@
   return false
 }
 
-function doubtPair(draft: CellDraft, engineId: string, model: string): void {
+function markDoubtful(draft: CellDraft, engineId: string, model: string): void {
   const engine = draft.engines.get(engineId)
-  const pair = engine?.pairs.get(model)
-  if (!engine || pair?.phase !== "loaded") return
-  setPair(draft, engineId, model, {...pair, phase: "doubtful", since: draft.now})
+  const adapter = engine?.pairs.get(model)
+  if (!engine || adapter?.phase !== "loaded") return
+  setPair(draft, engineId, model, {...adapter, phase: "doubtful", since: draft.now})
   updateEngine(draft, engineId, {quietUntil: draft.now})
   note(draft, "engine-restarted", {engine: engineId, model})
 }
