--- a/src/core/cell-load.ts
+++ b/src/core/cell-load.ts
@@ -1,4 +1,4 @@
-/** Loads: what is missing or wanted once more, within the cell's share of the budget. */
+/** Starts loads of adapters, within the cell's share of the load budget. */
 import {resolveModel} from "./configuration.js"
 import {type CellContext, isUsable, refuse, RETRY_AFTER_MS} from "./cell-context.js"
 import {countRoom, startDrain} from "./cell-evict.js"
@@ -8,43 +8,54 @@
 import {viewEngine, viewRequest, waitingFor} from "./cell-views.js"
 import type {EngineView} from "./policy.js"
 
-/** Loads what is wanted, most urgent first; makes room where there is none. */
+/** Loads the wanted adapters, most urgent first; starts evictions if no slot is free. */
 export function loadWanted(
   draft: CellDraft,
   context: CellContext,
   wanted: ReadonlyMap<string, Waiting>
 ): void {
-  let room = countRoom(draft)
-  // A slot is made free only for a load that the budget lets follow.
+  let freeing = countRoom(draft)
+  // A slot is freed only for a load that the budget allows.
   let budget = Math.min(
     Math.floor(draft.tokens),
     context.loadsAtOnce - countLoading(draft)
   )
   for (const [model, waiting] of wanted) {
-    if (refuseHopeless(draft, context, model)) continue
-    if (!wantsLoad(draft, context, model)) continue
+    if (refuseUnloadable(draft, context, model)) continue
+    if (!shouldLoad(draft, context, model)) continue
     if (budget <= 0) return
-    if (budget <= reserveFor(draft, context, waiting)) continue
+    if (budget <= reservedLoadsFor(draft, context, waiting)) continue
     budget--
     if (loadOnFreeSlot(draft, context, waiting)) continue
-    if (room > 0) room--
+    if (freeing > 0) freeing--
     else startDrain(draft, context, rankForLoading(draft, context, waiting))
   }
 }
 
-/** Loads of the budget that requests which may still wait leave to those that may not. */
-function reserveFor(draft: CellDraft, context: CellContext, waiting: Waiting): number {
+/** Loads that a request within its slack leaves to requests whose slack is over. */
+function reservedLoadsFor(
+  draft: CellDraft,
+  context: CellContext,
+  waiting: Waiting
+): number {
   const {reservedLoads, slackMs} = decide(draft, context, policy => ({
     reservedLoads: policy.reservedLoads,
     slackMs: policy.slackMs(waiting.class)
   }))
   const isDue = waiting.arrivedAt + slackMs <= draft.now
-  // Where only one load fits, a reserve would keep all who may wait from loading at all.
+  // A reserve as large as the budget would block all requests within their slack.
   return isDue || context.loadsAtOnce <= reservedLoads ? 0 : reservedLoads
 }
 
-/** Answers at once those who would give up before the adapter may be tried again. */
-function refuseHopeless(draft: CellDraft, context: CellContext, model: string): boolean {
+/**
+ * Returns whether an adapter can't be loaded now. Refuses its requests if its
+ * configuration is missing, and those that expire before the next attempt.
+ */
+function refuseUnloadable(
+  draft: CellDraft,
+  context: CellContext,
+  model: string
+): boolean {
   const resolved = resolveModel(context.config, model)
   const failure = draft.failures.get(model)
   if (resolved && !(failure && failure.retryAt > draft.now)) return false
@@ -58,20 +69,19 @@
   return true
 }
 
-/** Whether an adapter is to be loaded: it is nowhere, or the policy wants it once more. */
-function wantsLoad(draft: CellDraft, context: CellContext, model: string): boolean {
+/** Whether to load an adapter: no engine has it, or the policy wants it on one more. */
+function shouldLoad(draft: CellDraft, context: CellContext, model: string): boolean {
   let copies = 0
   let usable = 0
   let maxBatch = Infinity
   for (const engine of draft.engines.values()) {
     if (!isUsable(draft, engine)) continue
     usable++
-    const {pairs, server} = engine
-    const phase = pairs.get(model)?.phase
+    const phase = engine.pairs.get(model)?.phase
     if (phase === "loading" || phase === "doubtful") return false
     if (phase !== "loaded") continue
     copies++
-    maxBatch = Math.min(maxBatch, server.maxBatch)
+    maxBatch = Math.min(maxBatch, engine.server.maxBatch)
   }
   if (copies === 0) return usable > 0
   if (copies >= usable) return false
@@ -128,7 +138,7 @@
 function countLoading(draft: CellDraft): number {
   let count = 0
   for (const engine of draft.engines.values()) {
-    for (const pair of engine.pairs.values()) if (pair.phase === "loading") count++
+    for (const adapter of engine.pairs.values()) if (adapter.phase === "loading") count++
   }
   return count
 }
--- a/src/core/cell-reports.ts
+++ b/src/core/cell-reports.ts
@@ -1,33 +1,33 @@
 /**
- * What engines say of their load and their prefix caches. Both come late, and cache events with
- * gaps, so they only move choices between engines; nothing that must hold rests on them.
+ * Load and prefix cache reports of engines. Both are delayed, and cache events may have
+ * gaps, so they only rank engines; no safety rule depends on them.
  */
 import {type CellDraft, type Engine, updateEngine} from "./cell-state.js"
 import {countWhere} from "../utils/collections.js"
 
-/** Requests an engine says it has, whoever sent them. */
+/** Requests on an engine from all senders, as it reports them. */
 export interface LoadReport {
   readonly running: number
   readonly waiting: number
 }
 
-/** A prefix key, as sent with a request, whose blocks were cached or dropped. */
+/** A prefix was cached or evicted; the key is the one sent with requests. */
 export interface CacheEvent {
   readonly seq: number
   readonly prefix: string
   readonly stored: boolean
 }
 
-/** Events after the one that was asked for, as far as the engine still has them. */
+/** Events after the sequence number in the list order that the engine still has. */
 export interface CacheReport {
   readonly last: number
   readonly events: readonly CacheEvent[]
 }
 
-/** Prefixes remembered for one engine; past that the oldest are forgotten. */
+/** Maximum of remembered prefixes per engine; the oldest are dropped first. */
 const MAX_PREFIXES = 1_024
 
-/** Takes what an engine reported with the list of its adapters. */
+/** Applies the reports that came with an engine's list of adapters. */
 export function takeReports(
   draft: CellDraft,
   id: string,
@@ -38,17 +38,18 @@
   if (!engine) return
   const own = countRunningOn(draft, id)
   const reported = load ? load.running + load.waiting : 0
-  // The report is of some time since the last one: what was our own then is not foreign.
+  // The report was taken at some time since the last one, so the cell's own requests are
+  // counted at their peak since then.
   const foreign = Math.max(0, reported - Math.max(own, engine.peakRunning))
-  updateEngine(draft, id, {foreign, peakRunning: own, ...takeCache(engine, cache)})
+  updateEngine(draft, id, {foreign, peakRunning: own, ...applyCacheReport(engine, cache)})
 }
 
-/** Requests of the cell in progress on an engine. */
+/** Counts the running requests of the cell on an engine. */
 export function countRunningOn(draft: CellDraft, id: string): number {
   return countWhere(draft.running.values(), ({engine}) => engine === id)
 }
 
-function takeCache(
+function applyCacheReport(
   {cacheSeq, prefixes}: Engine,
   cache: CacheReport | undefined
 ): Pick<Engine, "cacheSeq" | "prefixes"> {
@@ -65,7 +66,10 @@
   return {cacheSeq: cache.last, prefixes: next}
 }
 
-/** Events were missed, or the engine restarted and counts anew: what was known is doubtful. */
+/**
+ * Whether events were missed, or the engine restarted its sequence numbers: the known
+ * prefixes may be wrong.
+ */
 function hasGap(seen: number, {last, events}: CacheReport): boolean {
   if (last < seen) return true
   const steps = events.map(({seq}, index) => seq - (events[index - 1]?.seq ?? seen))
--- a/src/core/cell-views.ts
+++ b/src/core/cell-views.ts
@@ -1,22 +1,20 @@
-/** The read-only views of a cell that policies are shown. */
+/** Read-only views of a cell for policies. */
 import type {CellDraft, Engine, Waiting} from "./cell-state.js"
 import {heatOf} from "./cell-requests.js"
 import type {EngineView, ModelView, RequestView} from "./policy.js"
 
-/** Requests of the cell that wait for an adapter. */
+/** Counts the requests of the cell that wait for an adapter. */
 export function waitingFor(draft: CellDraft, model: string): number {
   let count = 0
   for (const waiting of draft.waiting.values()) if (waiting.model === model) count++
   return count
 }
 
-/** A request as policies see it. */
 export function viewRequest(draft: CellDraft, waiting: Waiting): RequestView {
   const {organisation, model, arrivedAt} = waiting
   return {organisation, class: waiting.class, model, waitedMs: draft.now - arrivedAt}
 }
 
-/** An engine as policies see it. */
 export function viewEngine(
   draft: CellDraft,
   id: string,
@@ -31,11 +29,11 @@
     total++
   }
   const models = new Map<string, ModelView>()
-  for (const [model, pair] of engine.pairs) {
+  for (const [model, adapter] of engine.pairs) {
     models.set(model, {
       running: running.get(model) ?? 0,
       waiting: waitingFor(draft, model),
-      lastUsed: pair.lastUsed,
+      lastUsed: adapter.lastUsed,
       heat: heatOf(draft, model),
       copies: countCopies(draft, model)
     })
@@ -58,6 +56,6 @@
 
 function countCopies(draft: CellDraft, model: string): number {
   let count = 0
-  for (const {pairs} of draft.engines.values()) if (pairs.has(model)) count++
+  for (const engine of draft.engines.values()) if (engine.pairs.has(model)) count++
   return count
 }
