--- a/src/core/cell-context.ts
+++ b/src/core/cell-context.ts
@@ -1,26 +1,26 @@
-/** What one pass over a cell knows, and the small steps its parts share. */
+/** Inputs and helpers of a scheduling pass over a cell. */
 import type {Configuration} from "../types/config.js"
 import type {Policies} from "./cell-policy.js"
 import type {CellDraft, Engine, Waiting} from "./cell-state.js"
 import type {Timing} from "./timing.js"
 
-/** What a pass needs to know beyond the cell. */
+/** Inputs of a pass, besides the cell. */
 export interface CellContext extends Policies {
   readonly config: Configuration
   readonly timing: Timing
-  /** The lease is valid at this moment, by the monotonic clock: evictions may be ordered. */
+  /** Whether evictions may be ordered: the lease is valid now by the monotonic clock. */
   readonly mayEvict: boolean
-  /** The cell's share of the weight store's budget. */
+  /** The cell's share of the load budget of the weight store. */
   readonly loadsPerSecond: number
   readonly loadsAtOnce: number
-  /** Entries whose link is down, with the time since when. */
+  /** Silent entries, those without a live link, each with the time of its link's end. */
   readonly silentSince: ReadonlyMap<string, number>
 }
 
-/** When to come back after a refusal for want of capacity. */
+/** Retry delay sent with a refusal for lack of capacity. */
 export const RETRY_AFTER_MS = 1_000
 
-/** Answers a waiting request that it did not run. */
+/** Removes a waiting request and reports to its entry that it did not run. */
 export function refuse(
   draft: CellDraft,
   waiting: Waiting,
@@ -35,7 +35,7 @@
   })
 }
 
-/** Whether an engine may get requests or loads now. */
+/** Whether an engine may get requests and loads now. */
 export function isUsable(draft: CellDraft, engine: Engine): boolean {
   return engine.listed && !engine.leaving && engine.avoidUntil <= draft.now
 }
--- a/src/core/cell-engines.ts
+++ b/src/core/cell-engines.ts
@@ -1,7 +1,7 @@
-/** The engines of a cell, as configuration and the box list have them. */
+/** The engines of a cell, from the configuration and the platform's box list. */
 import {type CellDraft, type Engine, updateEngine} from "./cell-state.js"
 
-/** Brings the cell's engines in line with the configuration and the platform's box list. */
+/** Adds, updates and removes engines to match the configuration and the box list. */
 export function syncEngines(
   draft: CellDraft,
   servers: ReadonlyMap<string, Engine["server"]>,
