--- a/src/core/cell-context.ts
+++ b/src/core/cell-context.ts
@@ -13,7 +13,7 @@
   /** The cell's share of the load budget of the weight store. */
   readonly loadsPerSecond: number
   readonly loadsAtOnce: number
-  /** Silent entries, those without a live link, each with the time of its link's end. */
+  /** Entries without a live link (silent entries), each with the start of its silence. */
   readonly silentSince: ReadonlyMap<string, number>
 }
 
--- a/src/core/keeper-state.ts
+++ b/src/core/keeper-state.ts
@@ -14,17 +14,17 @@
 import type {Policy} from "./policy.js"
 import type {Timing} from "./timing.js"
 
-/** What a keeper is told once, from its settings. */
+/** Options of a keeper, constant after its start. */
 export interface KeeperOptions {
   readonly self: string
   readonly timing: Timing
-  /** Shards of the register; the same on every box. */
+  /** Number of register shards; must be equal on all boxes. */
   readonly registerShards: number
   readonly loadsPerSecond: number
   readonly loadsAtOnce: number
-  /** Finds the program of the policy in force. */
+  /** Returns the program of the active policy. */
   readonly findPolicy: (config: Configuration) => Policy
-  /** Decides where the policy in force fails. */
+  /** Decides if the active policy fails. */
   readonly builtInPolicy: Policy
 }
 
@@ -35,19 +35,23 @@
   readonly registers: ReadonlyMap<string, RegisterState>
   /** Entries with a live link. */
   readonly links: ReadonlySet<string>
-  /** Entries the key-value service knows, or that were linked. */
+  /**
+   * Entries that are registered in the key-value service or were linked. Undefined if no
+   * record of the entry was read.
+   */
   readonly entries: ReadonlyMap<string, ProcessRecord | undefined>
-  /** Entries without a live link, since when. */
+  /** Entries without a live link (silent entries), each with the start of its silence. */
   readonly silentSince: ReadonlyMap<string, number>
-  /** Entries being looked for. */
+  /** Time of the last probe of each silent entry. */
   readonly probedAt: ReadonlyMap<string, number>
-  /** When an entry was first found gone while engines may still run its streams. */
+  /** Time at which an entry whose streams may still run was first found gone. */
   readonly goneSince: ReadonlyMap<string, number>
+  /** Backend servers that are leaving, by the platform's box list. */
   readonly leaving: ReadonlySet<string>
-  /** Orders under way, by cell. */
+  /** Number of pending orders, by cell. */
   readonly orders: ReadonlyMap<string, number>
   readonly stopping: boolean
-  /** The last time in epoch milliseconds that was told, for the register. */
+  /** Wall-clock time of the last tick, for timestamps in the register. */
   readonly epoch: number
 }
 
@@ -89,13 +93,13 @@
       readonly type: "register-written"
       readonly shard: string
       readonly fence: number
-      /** `stale`: another owner has sealed the log. */
+      /** `unwritten`: failed or unanswered. `stale`: another owner has sealed the log. */
       readonly result: "done" | "unwritten" | "stale"
     }
   | {
       readonly type: "probed"
       readonly entry: string
-      /** `gone` only on evidence: another process answers there, or nothing listens. */
+      /** `gone` only if another process answers at the address, or nothing listens. */
       readonly verdict: "gone" | "alive" | "silent"
     }
   | {readonly type: "box-list"; readonly leaving: ReadonlySet<string>}
@@ -116,7 +120,7 @@
   readonly effects: readonly KeeperEffect[]
 }
 
-/** The share names of cells and register shards. */
+/** Prefixes of share names. A share is a unit of ownership: a cell, a register shard. */
 export const CELL_PREFIX = "cell:"
 export const REGISTER_PREFIX = "once:"
 
--- a/src/core/keeper.ts
+++ b/src/core/keeper.ts
@@ -49,7 +49,7 @@
   }
 }
 
-/** Every decision of a keeper. */
+/** Applies an event; `now` is in monotonic milliseconds. */
 export function stepKeeper(
   state: KeeperState,
   event: KeeperEvent,
@@ -57,15 +57,15 @@
   options: KeeperOptions
 ): KeeperStep {
   const draft: KeeperDraft = {state, now, options, effects: []}
-  takeEvent(draft, event)
+  handleEvent(draft, event)
   return {state: draft.state, effects: draft.effects}
 }
 
-function takeEvent(draft: KeeperDraft, event: KeeperEvent): void {
+function handleEvent(draft: KeeperDraft, event: KeeperEvent): void {
   const {timing} = draft.options
   switch (event.type) {
     case "tick":
-      return tick(draft, event.epoch)
+      return handleTick(draft, event.epoch)
     case "config":
       return update(draft, {config: event.config})
     case "lease-renewed":
@@ -83,9 +83,9 @@
     case "link-down":
       return linkDown(draft, event.entry)
     case "message":
-      return takeMessage(draft, event.from, event.message)
+      return handleMessage(draft, event.from, event.message)
     case "order-result":
-      return takeOrder(draft, event)
+      return handleOrderEvent(draft, event)
     case "register-opened":
       return changeRegister(draft, event.shard, event.fence, register =>
         openRegister(register, event.lines, draft.state.epoch, timing)
@@ -103,8 +103,8 @@
   }
 }
 
-function tick(draft: KeeperDraft, epoch: number): void {
-  update(draft, {epoch})
+function handleTick(draft: KeeperDraft, epochMs: number): void {
+  update(draft, {epoch: epochMs})
   claimShares(draft)
   for (const id of draft.state.cells.keys()) {
     changeCell(draft, id, cell => {
@@ -114,27 +114,27 @@
   }
   const {timing} = draft.options
   for (const [shard, register] of draft.state.registers) {
-    changeRegister(draft, shard, register.fence, known =>
-      writeRegister(forgetOldKeys(known, epoch, timing), draft.now, timing)
+    changeRegister(draft, shard, register.fence, current =>
+      writeRegister(forgetOldKeys(current, epochMs, timing), draft.now, timing)
     )
   }
   lookForSilent(draft)
   if (draft.state.stopping) handOver(draft)
 }
 
-function takeOrder(
+function handleOrderEvent(
   draft: KeeperDraft,
   event: Extract<KeeperEvent, {type: "order-result"}>
 ): void {
   const {cell, engine, fence, order, result, sentAt} = event
   countOrder(draft, cell, -1)
   if (draft.state.cells.get(cell)?.fence !== fence) return
-  changeCell(draft, cell, copy =>
-    takeOrderResult(copy, engine, order, result, sentAt, draft.options.timing)
+  changeCell(draft, cell, cellDraft =>
+    takeOrderResult(cellDraft, engine, order, result, sentAt, draft.options.timing)
   )
 }
 
-function takeMessage(draft: KeeperDraft, from: string, message: EntryMessage): void {
+function handleMessage(draft: KeeperDraft, from: string, message: EntryMessage): void {
   switch (message.t) {
     case "inventory":
       return changeCell(draft, message.cell, cell => takeInventory(cell, from, message))
