--- a/src/core/keeper-draft.ts
+++ b/src/core/keeper-draft.ts
@@ -1,4 +1,4 @@
-/** A working copy of a keeper's state for one transition, and the work on its cells and registers. */
+/** A draft of a keeper's state for one transition, with its cells and registers. */
 import {shareOfCell} from "./configuration.js"
 import type {CellContext} from "./cell-context.js"
 import {scheduleCell} from "./cell-schedule.js"
@@ -16,56 +16,58 @@
   readonly effects: KeeperEffect[]
 }
 
-/** Changes fields of the state. */
 export function update(draft: KeeperDraft, change: Partial<KeeperState>): void {
   draft.state = {...draft.state, ...change}
 }
 
-/** Works on a cell, lets it decide what follows, and keeps the result. */
+/** Updates a cell and runs a scheduling pass over it. */
 export function changeCell(
   draft: KeeperDraft,
   id: string,
-  work: (cell: CellDraft) => void
+  change: (cell: CellDraft) => void
 ): void {
   const cell = draft.state.cells.get(id)
   if (!cell) return
-  const copy = openCell(cell, draft.now)
-  work(copy)
-  scheduleCell(copy, contextOf(draft, id))
-  update(draft, {cells: withEntry(draft.state.cells, id, closeCell(copy))})
-  for (const effect of copy.effects) {
+  const cellDraft = openCell(cell, draft.now)
+  change(cellDraft)
+  scheduleCell(cellDraft, createContext(draft, id))
+  update(draft, {cells: withEntry(draft.state.cells, id, closeCell(cellDraft))})
+  for (const effect of cellDraft.effects) {
     if (effect.type === "order") countOrder(draft, id, 1)
     draft.effects.push(effect)
   }
 }
 
-/** As `changeCell`, for every cell that is owned. */
-export function changeCells(draft: KeeperDraft, work: (cell: CellDraft) => void): void {
-  for (const id of draft.state.cells.keys()) changeCell(draft, id, work)
+/** Updates every owned cell. */
+export function changeCells(draft: KeeperDraft, change: (cell: CellDraft) => void): void {
+  for (const id of draft.state.cells.keys()) changeCell(draft, id, change)
 }
 
-/** Keeps count of the orders under way in a cell. */
+/** Adjusts the number of pending orders of a cell. */
 export function countOrder(draft: KeeperDraft, cell: string, by: number): void {
   const count = (draft.state.orders.get(cell) ?? 0) + by
   update(draft, {orders: withEntry(draft.state.orders, cell, Math.max(0, count))})
 }
 
-/** Works on a register shard, if it is owned (under that fence), and writes what is due. */
+/**
+ * Updates a register shard, if it is owned (under `fence`, if given), and writes its
+ * pending lines when a write is due.
+ */
 export function changeRegister(
   draft: KeeperDraft,
   shard: string,
   fence: number | undefined,
-  work: (register: RegisterState) => RegisterStep
+  change: (register: RegisterState) => RegisterStep
 ): void {
   const register = draft.state.registers.get(shard)
   if (!register || (fence !== undefined && register.fence !== fence)) return
-  const step = work(register)
+  const step = change(register)
   const written = writeRegister(step.state, draft.now, draft.options.timing)
   update(draft, {registers: withEntry(draft.state.registers, shard, written.state)})
   draft.effects.push(...step.effects, ...written.effects)
 }
 
-function contextOf({state, options, now}: KeeperDraft, cell: string): CellContext {
+function createContext({state, options, now}: KeeperDraft, cell: string): CellContext {
   const share = shareOfCell(state.config, cell)
   const owns = state.ownership.owned.has(cellShare(cell))
   return {
--- a/src/core/keeper-entries.ts
+++ b/src/core/keeper-entries.ts
@@ -1,16 +1,22 @@
-/** The entries a keeper knows: linked, silent, or gone. */
+/** The entries of a keeper: linked, silent (without a live link) or gone. */
 import {dropWaiting, entryGone} from "./cell-requests.js"
 import {changeCells, type KeeperDraft, update} from "./keeper-draft.js"
 import type {KeeperState} from "./keeper-state.js"
 import {withEntry, withoutEntry} from "../utils/collections.js"
 
-/** How often a silent entry is looked for. */
+/** Interval between probes of a silent entry. */
 const PROBE_INTERVAL_MS = 1_000
 
-/** An entry unknown at the takeover may have been at work under an earlier owner. */
-export function learnEntries(draft: KeeperDraft, shown: KeeperState["entries"]): void {
+/**
+ * Adds registered entries. Their inventories are awaited, as an entry that was unknown at
+ * the takeover may use grants of an earlier owner.
+ */
+export function learnEntries(
+  draft: KeeperDraft,
+  registered: KeeperState["entries"]
+): void {
   const {entries, links, silentSince} = draft.state
-  const fresh = [...shown].filter(([entry]) => !entries.get(entry))
+  const fresh = [...registered].filter(([entry]) => !entries.get(entry))
   if (fresh.length === 0) return
   const silent = fresh.map(([entry]) => entry).filter(entry => !links.has(entry))
   const since = silent.map(entry => [entry, draft.now] as const)
@@ -18,10 +24,10 @@
     entries: new Map([...entries, ...fresh]),
     silentSince: new Map([...silentSince, ...since])
   })
-  awaitEntries(draft, silent)
+  awaitInventories(draft, silent)
 }
 
-/** A link is up: the entry tells its inventory next. */
+/** Handles a new link; the entry sends its inventory next. */
 export function linkUp(draft: KeeperDraft, entry: string, role: string): void {
   if (role !== "entry") return
   const {entries, links, silentSince} = draft.state
@@ -30,11 +36,14 @@
     entries: entries.has(entry) ? entries : withEntry(entries, entry, undefined),
     silentSince: withoutEntry(silentSince, entry)
   })
-  awaitEntries(draft, [entry])
+  awaitInventories(draft, [entry])
   tellOwned(draft, entry)
 }
 
-/** A link is down: what the entry holds stays pinned; what it waits for it will ask again. */
+/**
+ * Handles the end of a link: removes the waiting requests of the entry, which it will
+ * send again. The adapters that it holds stay loaded.
+ */
 export function linkDown(draft: KeeperDraft, entry: string): void {
   const links = new Set(draft.state.links)
   if (!links.delete(entry)) return
@@ -45,14 +54,14 @@
   changeCells(draft, cell => dropWaiting(cell, entry))
 }
 
-/** Tells an entry what this keeper owns. */
+/** Sends an entry the shares that this keeper owns. */
 export function tellOwned(draft: KeeperDraft, entry: string): void {
   const {owned} = draft.state.ownership
   const shares = [...owned].map(([share, fence]) => ({share, fence}))
   draft.effects.push({type: "send", to: entry, message: {t: "owned", shares}})
 }
 
-/** Looks for evidence on entries without a link. */
+/** Probes the silent entries. */
 export function lookForSilent(draft: KeeperDraft): void {
   for (const entry of draft.state.silentSince.keys()) {
     const last = draft.state.probedAt.get(entry) ?? -Infinity
@@ -62,7 +71,10 @@
   }
 }
 
-/** Takes what was found; only evidence of its end, or a very long silence, frees its pins. */
+/**
+ * Handles the result of a probe. Only evidence of its end, or a silence of `entryGoneMs`,
+ * frees the adapters that an entry holds.
+ */
 export function takeProbe(
   draft: KeeperDraft,
   entry: string,
@@ -71,9 +83,9 @@
   const {silentSince, links, entries, probedAt} = draft.state
   const since = silentSince.get(entry)
   if (since === undefined || links.has(entry)) return
-  const lapsed = draft.now - since >= draft.options.timing.entryGoneMs
-  if (verdict !== "gone" && !lapsed) return
-  if (!lapsed && mayStillStream(draft, entry)) return
+  const expired = draft.now - since >= draft.options.timing.entryGoneMs
+  if (verdict !== "gone" && !expired) return
+  if (!expired && mayStillStream(draft, entry)) return
   changeCells(draft, cell => entryGone(cell, entry, verdict))
   update(draft, {
     entries: withoutEntry(entries, entry),
@@ -85,8 +97,9 @@
 }
 
 /**
- * An engine that resumes streams goes on with those of a dead entry for a while: its end is no
- * evidence yet that nothing of it runs. Counted from the first sign of the end, which may be late.
+ * Whether streams of a dead entry may still run: engines that resume streams continue
+ * them for `streamLingerMs` after the entry's end. The time starts when the end is first
+ * seen, which may be later than the end.
  */
 function mayStillStream(draft: KeeperDraft, entry: string): boolean {
   const {config, goneSince} = draft.state
@@ -99,7 +112,7 @@
   return draft.now - since < draft.options.timing.streamLingerMs
 }
 
-function awaitEntries(draft: KeeperDraft, entries: readonly string[]): void {
+function awaitInventories(draft: KeeperDraft, entries: readonly string[]): void {
   if (entries.length === 0) return
   changeCells(draft, cell => {
     cell.awaited = new Set([...cell.awaited, ...entries])
--- a/src/core/keeper-shares.ts
+++ b/src/core/keeper-shares.ts
@@ -1,4 +1,4 @@
-/** How a keeper comes to own shares, loses them, and gives them back. */
+/** Claims, loses and releases the shares of a keeper. */
 import {createCell} from "./cell-state.js"
 import {cellsOf} from "./configuration.js"
 import {type KeeperDraft, update} from "./keeper-draft.js"
@@ -22,14 +22,14 @@
 import {createRegister} from "./register.js"
 import {withEntry, withoutEntry} from "../utils/collections.js"
 
-/** Claims what has no owner and falls to this keeper. */
+/** Claims the ownerless shares that are this keeper's turn to claim. */
 export function claimShares(draft: KeeperDraft): void {
   if (draft.state.stopping) return
-  // An order of an earlier term of our own may still arrive at its engine.
-  const settled = cellsOf(draft.state.config).filter(
-    cell => !isBusy(draft, cellShare(cell))
+  // An order from an earlier term of this keeper may still arrive at its engine.
+  const idle = cellsOf(draft.state.config).filter(
+    cell => !hasPendingWork(draft, cellShare(cell))
   )
-  const wanted = settled.map(cellShare)
+  const wanted = idle.map(cellShare)
   for (let shard = 0; shard < draft.options.registerShards; shard++) {
     wanted.push(registerShare(shard))
   }
@@ -39,7 +39,7 @@
   }
 }
 
-/** Takes the records as read. */
+/** Applies the records read from the key-value service. */
 export function takeShares(
   draft: KeeperDraft,
   {shares, keepers, entries}: Extract<KeeperEvent, {type: "shares"}>
@@ -48,30 +48,30 @@
     ownership: readShares(draft.state.ownership, shares, keepers, draft.now)
   })
   learnEntries(draft, entries)
-  followOwnership(draft)
+  syncOwned(draft)
 }
 
-/** Takes the answer to a claim or release. */
+/** Applies the result of a claim or release. */
 export function takeShareChange(
   draft: KeeperDraft,
   {change, result}: Extract<KeeperEvent, {type: "share-changed"}>
 ): void {
   update(draft, {ownership: finishChange(draft.state.ownership, change, result)})
-  followOwnership(draft)
+  syncOwned(draft)
   if (draft.state.stopping) handOver(draft)
 }
 
-/** The lease is gone: nothing is owned from this moment until it is claimed again. */
+/** Drops all shares after the loss of the lease, until they are claimed again. */
 export function takeLeaseLost(draft: KeeperDraft): void {
   update(draft, {ownership: loseLease(draft.state.ownership)})
-  followOwnership(draft)
+  syncOwned(draft)
 }
 
-/** At a planned stop: gives back what has no order under way, then ends. */
+/** Releases the shares without pending work during a planned stop, then stops. */
 export function handOver(draft: KeeperDraft): void {
   const {owned, claiming} = draft.state.ownership
   for (const share of owned.keys()) {
-    if (claiming.has(share) || isBusy(draft, share)) continue
+    if (claiming.has(share) || hasPendingWork(draft, share)) continue
     const change = releaseShare(draft.state.ownership, share)
     if (change) beginChange(draft, change)
   }
@@ -83,11 +83,12 @@
   draft.effects.push({type: "change-share", change})
 }
 
-/** Builds what is newly owned and drops what no longer is. */
-function followOwnership(draft: KeeperDraft): void {
+/** Creates the state of newly owned shares and drops that of lost ones. */
+function syncOwned(draft: KeeperDraft): void {
   const {owned} = draft.state.ownership
   let changed = false
-  for (const [share, fence] of owned) changed = takeOver(draft, share, fence) || changed
+  for (const [share, fence] of owned)
+    changed = createShare(draft, share, fence) || changed
   for (const [id, {fence}] of draft.state.cells) {
     if (owned.has(cellShare(id))) continue
     update(draft, {cells: withoutEntry(draft.state.cells, id)})
@@ -103,7 +104,7 @@
   if (changed) for (const entry of draft.state.links) tellOwned(draft, entry)
 }
 
-function takeOver(draft: KeeperDraft, share: string, fence: number): boolean {
+function createShare(draft: KeeperDraft, share: string, fence: number): boolean {
   if (share.startsWith(CELL_PREFIX)) {
     const id = share.slice(CELL_PREFIX.length)
     if (draft.state.cells.get(id)?.fence === fence) return false
@@ -119,7 +120,7 @@
   return true
 }
 
-function isBusy(draft: KeeperDraft, share: string): boolean {
+function hasPendingWork(draft: KeeperDraft, share: string): boolean {
   if (!share.startsWith(CELL_PREFIX)) {
     const register = draft.state.registers.get(share)
     return register !== undefined && register.pending.length + register.writing.length > 0
