--- a/src/core/ownership.ts
+++ b/src/core/ownership.ts
@@ -1,6 +1,7 @@
 /**
- * Who owns which share. A keeper holds one lease; each share has one record with a fence that
- * only grows, changed by compare-and-swap. The lease is checked on the monotonic clock.
+ * Ownership of shares (cells and register shards). A keeper holds one lease. Each share
+ * has a record with a fence (a fencing token that only increases), changed by
+ * compare-and-swap. The lease is checked against the monotonic clock.
  */
 import {rankMembers} from "../utils/rendezvous.js"
 import {
@@ -11,20 +12,20 @@
 } from "../utils/collections.js"
 import type {Timing} from "./timing.js"
 
-/** A share's record as the key-value service holds it. */
+/** The record of a share in the key-value service. */
 export interface ShareRecord {
-  /** The owner's incarnation; empty when it was released. */
+  /** The owner's incarnation. Empty if the share was released. */
   readonly owner: string
   readonly fence: number
-  /** Revision to compare with at the next change. */
+  /** Revision of the record, for the compare-and-swap of the next change. */
   readonly revision: number
 }
 
-/** A process as the key-value service knows it. */
+/** The record of a process in the key-value service. */
 export interface ProcessRecord {
-  /** Where its own peers reach it, `host:port`; empty when they do not. */
+  /** Address for peer links, `host:port`. Empty if it accepts none. */
   readonly address: string
-  /** Where its health, identity and state are served, `host:port`. */
+  /** Address of its health, identity and state endpoints, `host:port`. */
   readonly ops: string
   readonly dataCentre: string
 }
@@ -33,14 +34,15 @@
   readonly self: string
   readonly shares: ReadonlyMap<string, ShareRecord>
   readonly keepers: ReadonlyMap<string, ProcessRecord>
-  /** Shares whose owner's lease is seen lapsed, and since when. */
+  /** Shares whose owner has no lease, each with the time when this was first seen. */
   readonly absentSince: ReadonlyMap<string, number>
-  /** Shares this keeper owns, each with its fence. */
+  /** Shares that this keeper owns, each with its fence. */
   readonly owned: ReadonlyMap<string, number>
+  /** Shares with a pending claim or release. */
   readonly claiming: ReadonlySet<string>
-  /** Fences claimed under the present lease. A record of an earlier lease is claimed anew. */
+  /** Fences claimed under the current lease. Shares from an earlier one are reclaimed. */
   readonly claimed: ReadonlyMap<string, number>
-  /** Until when the lease is certainly valid, monotonic milliseconds. */
+  /** Time until which the lease is certainly valid, in monotonic milliseconds. */
   readonly leaseUntil: number
 }
 
@@ -49,11 +51,11 @@
   readonly share: string
   readonly owner: string
   readonly fence: number
-  /** 0 when the record must not exist yet. */
+  /** 0 means that the record must not exist yet. */
   readonly expectRevision: number
 }
 
-/** The answer to a `ShareChange`. */
+/** The result of a `ShareChange`. */
 export type ShareResult =
   | {readonly result: "done"; readonly revision: number}
   | {readonly result: "conflict"}
@@ -72,7 +74,7 @@
   }
 }
 
-/** Takes a renewal: the lease counts from when the call was sent, not from its answer. */
+/** Extends the lease, counted from the time at which the renewal was sent. */
 export function renewLease(
   state: OwnershipState,
   sentAt: number,
@@ -83,19 +85,19 @@
 }
 
 /**
- * The service says the lease is gone. Others may be claiming already, so nothing is owned until
- * it was claimed again: the new revision makes a late claim of theirs fail.
+ * Handles a lost lease. Other keepers may already be claiming, so nothing is owned until
+ * it is claimed again; the new revision makes their late claims fail.
  */
 export function loseLease(state: OwnershipState): OwnershipState {
   return {...state, leaseUntil: 0, owned: new Map(), claimed: new Map()}
 }
 
-/** Whether dangerous orders may be given at this moment. */
+/** Whether the lease is certainly valid now, so that evictions may be ordered. */
 export function holdsLease(state: OwnershipState, now: number): boolean {
   return now < state.leaseUntil
 }
 
-/** Takes the records as read; what another owner has now is no longer owned. */
+/** Applies the records that were read; shares with another owner are no longer owned. */
 export function readShares(
   state: OwnershipState,
   shares: ReadonlyMap<string, ShareRecord>,
@@ -105,7 +107,7 @@
   const merged = new Map(state.shares)
   for (const [share, record] of shares) {
     const known = merged.get(share)
-    // Reads may come late; a record never goes back.
+    // Reads may arrive out of order; a record never goes back to an older revision.
     if (!known || record.revision >= known.revision) merged.set(share, record)
   }
   const owned = new Map<string, number>()
@@ -118,11 +120,11 @@
     shares: merged,
     keepers,
     owned,
-    absentSince: noteAbsence(state, merged, keepers, now)
+    absentSince: trackAbsence(state, merged, keepers, now)
   }
 }
 
-function noteAbsence(
+function trackAbsence(
   state: OwnershipState,
   shares: ReadonlyMap<string, ShareRecord>,
   keepers: ReadonlyMap<string, ProcessRecord>,
@@ -131,14 +133,13 @@
   const absent = new Map<string, number>()
   for (const [share, {owner}] of shares) {
     if (owner === "" || owner === state.self || keepers.has(owner)) continue
-    const known = state.shares.get(share)
-    const same = known?.owner === owner
-    absent.set(share, same ? (state.absentSince.get(share) ?? now) : now)
+    const isSameOwner = state.shares.get(share)?.owner === owner
+    absent.set(share, isSameOwner ? (state.absentSince.get(share) ?? now) : now)
   }
   return absent
 }
 
-/** The claims to make now, of the shares that should have an owner. */
+/** Returns the claims to make now, of the shares in `wanted`. */
 export function decideClaims(
   state: OwnershipState,
   wanted: Iterable<string>,
@@ -180,7 +181,7 @@
   return freeAt + rank * timing.claimStaggerMs
 }
 
-/** Marks a change as under way. */
+/** Marks a change as pending. */
 export function startChange(state: OwnershipState, change: ShareChange): OwnershipState {
   const claiming = new Set(state.claiming).add(change.share)
   if (change.owner !== state.self) return {...state, claiming}
@@ -191,7 +192,7 @@
   }
 }
 
-/** Takes the answer; an unknown one is settled by the next read of the record. */
+/** Applies the result of a change. The next read of the record resolves `unknown`. */
 export function finishChange(
   state: OwnershipState,
   change: ShareChange,
@@ -200,20 +201,20 @@
   const claiming = withoutItem(state.claiming, change.share)
   if (result.result !== "done") return {...state, claiming}
   const {share, owner, fence} = change
-  // An answer to a claim of an earlier lease comes too late to count.
-  const counts = owner === state.self && state.claimed.get(share) === fence
+  // The result of a claim under an earlier lease gives no ownership.
+  const isOwner = owner === state.self && state.claimed.get(share) === fence
   return {
     ...state,
     claiming,
     shares: withEntry(state.shares, share, {owner, fence, revision: result.revision}),
-    owned: counts
+    owned: isOwner
       ? withEntry(state.owned, share, fence)
       : withoutEntry(state.owned, share),
     absentSince: filterEntries(state.absentSince, (_, name) => name !== share)
   }
 }
 
-/** The change that gives a share back, so that another keeper need not wait. */
+/** Returns the change that releases a share, so that its next owner need not wait. */
 export function releaseShare(
   state: OwnershipState,
   share: string
