--- a/src/core/policy.ts
+++ b/src/core/policy.ts
@@ -1,36 +1,36 @@
-/** What a policy sees and returns. It ranks; the core enforces what must always hold. */
+/** Inputs and decisions of policies. They only rank; the core enforces safety rules. */
 import type {RequestClass} from "../types/config.js"
 
-/** An engine as a policy sees it. */
+/** Input of policies for an engine. */
 export interface EngineView {
   readonly id: string
   readonly dataCentre: string
   readonly slots: number
   readonly maxBatch: number
-  /** Requests of the cell in progress there. */
+  /** Requests of the cell in progress on it. */
   readonly running: number
-  /** Requests of others it reported lately, waiting ones too. */
+  /** Requests from outside the cell in its last report, running and waiting. */
   readonly foreign: number
-  /** It has the start of the request's prompt in its cache, as far as is known. */
+  /** Whether it has the prefix of the request's prompt cached, by its cache reports. */
   readonly cachesPrefix: boolean
   readonly freeSlots: number
   readonly models: ReadonlyMap<string, ModelView>
 }
 
-/** A loaded adapter as a policy sees it. */
+/** Input of policies for an adapter on an engine. */
 export interface ModelView {
   /** Requests in progress on this engine. */
   readonly running: number
   /** Requests of the cell that wait for it. */
   readonly waiting: number
   readonly lastUsed: number
-  /** Requests asked for lately, halved every `HEAT_HALF_LIFE_MS`. */
+  /** Count of requests for it, decayed with the half-life `HEAT_HALF_LIFE_MS`. */
   readonly heat: number
   /** Engines of the cell that have it. */
   readonly copies: number
 }
 
-/** A request as a policy sees it. */
+/** Input of policies for a request. */
 export interface RequestView {
   readonly organisation: string
   readonly class: RequestClass
@@ -38,34 +38,37 @@
   readonly waitedMs: number
 }
 
-/** What there is of an adapter that waits, and whether it wants one more engine. */
+/** Input of policies for an adapter whose requests wait: load it on one more engine? */
 export interface DemandView {
   readonly waiting: number
   /** Engines that have it. */
   readonly copies: number
   readonly heat: number
-  /** Of the smallest engine that has it. */
+  /** The smallest batch limit of the engines that have it. */
   readonly maxBatch: number
 }
 
-/** A policy program. Every function is called within one turn of the loop and must not block. */
+/** A policy program. Its functions are called synchronously and must not block. */
 export interface Policy {
   readonly name: string
-  /** Engines that have the adapter, best first; an engine left out is not used. */
+  /**
+   * Ranks engines that have the adapter, best first. An omitted engine is used only if
+   * all are omitted.
+   */
   rankServing(engines: readonly EngineView[], request: RequestView): readonly string[]
-  /** Engines to load the adapter on, best first. */
+  /** Ranks engines to load the adapter on, best first. An omitted engine is not used. */
   rankLoading(engines: readonly EngineView[], request: RequestView): readonly string[]
-  /** Adapters of an engine that may go, first to go first. */
+  /** Ranks adapters of an engine for eviction, first victim first. */
   rankVictims(engine: EngineView, now: number): readonly string[]
-  /** How long a request of the class may be overtaken by more urgent ones, milliseconds. */
+  /** How long more urgent requests may overtake a request of the class. */
   slackMs(requestClass: RequestClass): number
-  /** Loads of the budget kept for requests whose slack is over: a shopper finds one. 0 or 1. */
+  /** Loads (0 or 1) reserved for requests whose slack is over, such as a shopper's. */
   readonly reservedLoads: number
-  /** Whether an adapter that is loaded already is to be loaded on one more engine. */
+  /** Whether to load an adapter on one more engine. */
   wantsCopy(demand: DemandView): boolean
-  /** Requests of an organisation and class that a cell runs at once, at most. */
+  /** Maximum of concurrent requests of an organisation and class in a cell. */
   limit(organisation: string, requestClass: RequestClass): number
 }
 
-/** The time in which an adapter's heat halves. */
+/** Half-life of the decayed request count of an adapter. */
 export const HEAT_HALF_LIFE_MS = 60_000
--- a/src/core/register.ts
+++ b/src/core/register.ts
@@ -1,28 +1,29 @@
 /**
- * The register of requests that must run at most once. One owner a shard; a key is granted
- * only after its line is durable, and many lines go in one write.
+ * The register of requests that must run at most once. Each shard has one owner. A key is
+ * granted only after its line is durable; many lines share one write.
  */
 import type {KeeperMessage, KeyState, Reserve, Settle} from "../types/messages.js"
 import type {Timing} from "./timing.js"
 
-/** One line of a shard's log, as the key-value service holds it. */
+/** A line of a shard's log in the key-value service. */
 export interface RegisterLine {
   readonly key: string
   readonly attempt: string
   readonly body: string
   readonly state: "started" | Settle["state"]
-  /** Milliseconds since the epoch, by the owner's clock. */
+  /** Milliseconds since the Unix epoch, by the owner's clock. */
   readonly at: number
 }
 
 interface KeyRecord extends RegisterLine {
-  /** Whether the line is durable; nothing is granted before. */
+  /** Whether the line is durable. The key isn't granted before. */
   readonly durable: boolean
-  /** Read from an earlier owner's log: whether the request still runs is not known. */
+  /** Read from an earlier owner's log, so the request may or may not still run. */
   readonly inherited: boolean
 }
 
-interface Asker {
+/** A `reserve` that arrived before the log was read. */
+interface DeferredReserve {
   readonly entry: string
   readonly reserve: Reserve
 }
@@ -30,16 +31,19 @@
 export interface RegisterState {
   readonly shard: string
   readonly fence: number
-  /** The log of earlier owners has been read and sealed. */
+  /** Whether the log of earlier owners has been read and sealed. */
   readonly ready: boolean
   readonly keys: ReadonlyMap<string, KeyRecord>
-  /** What came before the log was read, in its order: an end may follow its own beginning. */
-  readonly early: readonly (Asker | Settle)[]
+  /**
+   * Messages that arrived before the log was read, in order: a settle may follow its
+   * reserve.
+   */
+  readonly early: readonly (DeferredReserve | Settle)[]
   /** Lines not yet written, oldest first. */
   readonly pending: readonly RegisterLine[]
-  /** Lines of the write that is under way. */
+  /** Lines of the pending write. */
   readonly writing: readonly RegisterLine[]
-  /** Who waits for which attempt. */
+  /** The entry that waits for each attempt. */
   readonly askers: ReadonlyMap<string, string>
   readonly lastWriteAt: number
 }
@@ -59,7 +63,7 @@
   readonly effects: readonly RegisterEffect[]
 }
 
-/** A shard just taken over: its log is read before anything is granted. */
+/** Returns the state of a shard after a takeover; its log is read before any grant. */
 export function createRegister(shard: string, fence: number): RegisterStep {
   const state: RegisterState = {
     shard,
@@ -75,65 +79,71 @@
   return {state, effects: [{type: "open-register", shard, fence}]}
 }
 
-/** Takes the log of earlier owners. */
+/** Applies the log of earlier owners, then the messages that arrived meanwhile. */
 export function openRegister(
   state: RegisterState,
   lines: readonly RegisterLine[],
-  epoch: number,
+  epochMs: number,
   timing: Timing
 ): RegisterStep {
   const keys = new Map<string, KeyRecord>()
   for (const line of lines) {
-    if (epoch - line.at > timing.keyRetentionMs) continue
+    if (epochMs - line.at > timing.keyRetentionMs) continue
     keys.set(line.key, {...line, durable: true, inherited: true})
   }
   const opened = {...state, ready: true, keys, early: []}
   return state.early.reduce<RegisterStep>(
-    (step, call) => chain(step, next => takeEarly(next, call, epoch, timing)),
+    (step, message) => chain(step, next => applyEarly(next, message, epochMs, timing)),
     {state: opened, effects: []}
   )
 }
 
-function takeEarly(
+function applyEarly(
   state: RegisterState,
-  call: Asker | Settle,
-  epoch: number,
+  message: DeferredReserve | Settle,
+  epochMs: number,
   timing: Timing
 ): RegisterStep {
-  if ("t" in call) return only(settleKey(state, call))
-  return reserveKey(state, call.entry, call.reserve, epoch, timing)
+  if ("t" in message) return withoutEffects(settleKey(state, message))
+  return reserveKey(state, message.entry, message.reserve, epochMs, timing)
 }
 
-/** Answers from what is known, or queues a line for the next write. */
+/** Answers from the recorded state of the key, or queues a line for the next write. */
 export function reserveKey(
   state: RegisterState,
   entry: string,
   reserve: Reserve,
-  epoch: number,
+  epochMs: number,
   timing: Timing
 ): RegisterStep {
-  if (!state.ready) return only({...state, early: [...state.early, {entry, reserve}]})
-  const known = state.keys.get(reserve.key)
-  const fresh = known && epoch - known.at <= timing.keyRetentionMs ? known : undefined
+  if (!state.ready)
+    return withoutEffects({...state, early: [...state.early, {entry, reserve}]})
+  const record = state.keys.get(reserve.key)
+  const fresh =
+    record && epochMs - record.at <= timing.keyRetentionMs ? record : undefined
   if (fresh && fresh.body !== reserve.body)
-    return tell(state, entry, reserve, "other-body")
+    return answer(state, entry, reserve, "other-body")
   if (fresh && fresh.attempt === reserve.attempt && fresh.state === "started") {
-    return againSameAttempt(state, entry, reserve, fresh)
+    return answerRetry(state, entry, reserve, fresh)
   }
   if (fresh && fresh.state !== "not-run") {
-    return tell(state, entry, reserve, describeKey(fresh))
+    return answer(state, entry, reserve, describeKey(fresh))
   }
-  return startKey(state, entry, reserve, epoch)
+  return startKey(state, entry, reserve, epochMs)
 }
 
-function againSameAttempt(
+/** Answers a repeated `reserve` of the same attempt. */
+function answerRetry(
   state: RegisterState,
   entry: string,
   reserve: Reserve,
   record: KeyRecord
 ): RegisterStep {
   if (!record.durable) {
-    return only({...state, askers: new Map(state.askers).set(reserve.attempt, entry)})
+    return withoutEffects({
+      ...state,
+      askers: new Map(state.askers).set(reserve.attempt, entry)
+    })
   }
   return {state, effects: [sendReserved(entry, reserve.key, reserve.attempt)]}
 }
@@ -142,10 +152,10 @@
   state: RegisterState,
   entry: string,
   {key, attempt, body}: Reserve,
-  epoch: number
+  epochMs: number
 ): RegisterStep {
-  const line: RegisterLine = {key, attempt, body, state: "started", at: epoch}
-  return only({
+  const line: RegisterLine = {key, attempt, body, state: "started", at: epochMs}
+  return withoutEffects({
     ...state,
     keys: new Map(state.keys).set(key, {...line, durable: false, inherited: false}),
     pending: [...state.pending, line],
@@ -153,11 +163,11 @@
   })
 }
 
-/** Takes the end of an attempt. It becomes durable with the next write; nobody waits for it. */
+/** Records the end of an attempt. The next write persists it; no entry waits for it. */
 export function settleKey(state: RegisterState, settle: Settle): RegisterState {
   if (!state.ready) return {...state, early: [...state.early, settle]}
   const record = state.keys.get(settle.key)
-  // An end is final: a late one does not replace it.
+  // The first recorded end is final.
   if (record?.attempt !== settle.attempt || record.state !== "started") return state
   const {key, attempt, body, at} = record
   const line: RegisterLine = {key, attempt, body, state: settle.state, at}
@@ -175,7 +185,7 @@
   }
 }
 
-/** Starts a write when one is due. */
+/** Starts a write if one is due. */
 export function writeRegister(
   state: RegisterState,
   now: number,
@@ -183,7 +193,7 @@
 ): RegisterStep {
   const due = now - state.lastWriteAt >= timing.commitIntervalMs
   if (!state.ready || !due || state.writing.length > 0 || state.pending.length === 0) {
-    return only(state)
+    return withoutEffects(state)
   }
   const {shard, fence, pending} = state
   return {
@@ -192,7 +202,7 @@
   }
 }
 
-/** The write is durable: those who wait for one of its lines may go on. */
+/** Handles a durable write: grants the keys of its lines to the waiting entries. */
 export function takeWritten(state: RegisterState): RegisterStep {
   const keys = new Map(state.keys)
   const askers = new Map(state.askers)
@@ -209,8 +219,9 @@
 }
 
 /**
- * The write failed or its answer was lost. Nothing was granted, so those attempts did not run;
- * lines that say so follow, should the write have taken effect after all.
+ * Handles a write that failed or whose answer was lost. Nothing was granted, so its
+ * attempts did not run. The next write corrects their lines, in case this one took
+ * effect.
  */
 export function takeUnwritten(state: RegisterState): RegisterStep {
   const keys = new Map(state.keys)
@@ -233,15 +244,15 @@
   return {state: {...state, keys, askers, writing: [], pending}, effects}
 }
 
-/** Forgets the keys whose time is over. */
+/** Removes the keys past their retention time. */
 export function forgetOldKeys(
   state: RegisterState,
-  epoch: number,
+  epochMs: number,
   timing: Timing
 ): RegisterState {
   const keys = new Map<string, KeyRecord>()
   for (const [key, record] of state.keys) {
-    if (epoch - record.at <= timing.keyRetentionMs) keys.set(key, record)
+    if (epochMs - record.at <= timing.keyRetentionMs) keys.set(key, record)
   }
   return keys.size === state.keys.size ? state : {...state, keys}
 }
@@ -252,13 +263,13 @@
   return "unknown"
 }
 
-function tell(
+function answer(
   state: RegisterState,
   entry: string,
   {key, attempt}: Reserve,
-  answer: KeyState | "other-body"
+  keyState: KeyState | "other-body"
 ): RegisterStep {
-  return {state, effects: [sendKnown(entry, key, attempt, answer)]}
+  return {state, effects: [sendKnown(entry, key, attempt, keyState)]}
 }
 
 function sendKnown(
@@ -274,7 +285,7 @@
   return {type: "send", to, message: {t: "reserved", key, attempt}}
 }
 
-function only(state: RegisterState): RegisterStep {
+function withoutEffects(state: RegisterState): RegisterStep {
   return {state, effects: []}
 }
 
