--- a/src/core/cell-state.ts
+++ b/src/core/cell-state.ts
@@ -112,7 +112,7 @@
   readonly grants: number
   /** Faults of the policy that failed last. */
   readonly policyFaults: PolicyFaults
-  /** Content of the token bucket that limits loads, at `tokensAt`. */
+  /** Content of the token bucket that limits loads, at `loadTokensAt`. */
   readonly tokens: number
   readonly tokensAt: number
 }
--- a/src/core/keeper-shares.ts
+++ b/src/core/keeper-shares.ts
@@ -69,9 +69,9 @@
 
 /** Releases the shares without pending work during a planned stop, then stops. */
 export function handOver(draft: KeeperDraft): void {
-  const {owned, claiming} = draft.state.ownership
+  const {owned, claiming: pending} = draft.state.ownership
   for (const share of owned.keys()) {
-    if (claiming.has(share) || hasPendingWork(draft, share)) continue
+    if (pending.has(share) || hasPendingWork(draft, share)) continue
     const change = releaseShare(draft.state.ownership, share)
     if (change) beginChange(draft, change)
   }
--- a/src/core/ownership.ts
+++ b/src/core/ownership.ts
@@ -183,11 +183,11 @@
 
 /** Marks a change as pending. */
 export function startChange(state: OwnershipState, change: ShareChange): OwnershipState {
-  const claiming = new Set(state.claiming).add(change.share)
-  if (change.owner !== state.self) return {...state, claiming}
+  const pending = new Set(state.claiming).add(change.share)
+  if (change.owner !== state.self) return {...state, claiming: pending}
   return {
     ...state,
-    claiming,
+    claiming: pending,
     claimed: withEntry(state.claimed, change.share, change.fence)
   }
 }
@@ -198,14 +198,14 @@
   change: ShareChange,
   result: ShareResult
 ): OwnershipState {
-  const claiming = withoutItem(state.claiming, change.share)
-  if (result.result !== "done") return {...state, claiming}
+  const pending = withoutItem(state.claiming, change.share)
+  if (result.result !== "done") return {...state, claiming: pending}
   const {share, owner, fence} = change
   // The result of a claim under an earlier lease gives no ownership.
   const isOwner = owner === state.self && state.claimed.get(share) === fence
   return {
     ...state,
-    claiming,
+    claiming: pending,
     shares: withEntry(state.shares, share, {owner, fence, revision: result.revision}),
     owned: isOwner
       ? withEntry(state.owned, share, fence)
--- a/src/core/policy.ts
+++ b/src/core/policy.ts
@@ -1,4 +1,4 @@
-/** Inputs and decisions of policies. They only rank; the core enforces safety rules. */
+/** Inputs and decisions of policies, which only rank and limit. */
 import type {RequestClass} from "../types/config.js"
 
 /** Input of policies for an engine. */
@@ -24,7 +24,7 @@
   /** Requests of the cell that wait for it. */
   readonly waiting: number
   readonly lastUsed: number
-  /** Count of requests for it, decayed with the half-life `HEAT_HALF_LIFE_MS`. */
+  /** Count of requests for it, decayed with the half-life `POPULARITY_HALF_LIFE_MS`. */
   readonly heat: number
   /** Engines of the cell that have it. */
   readonly copies: number
--- a/src/core/register.ts
+++ b/src/core/register.ts
@@ -171,11 +171,11 @@
   if (record?.attempt !== settle.attempt || record.state !== "started") return state
   const {key, attempt, body, at} = record
   const line: RegisterLine = {key, attempt, body, state: settle.state, at}
-  const askers = new Map(state.askers)
-  askers.delete(attempt)
+  const waiting = new Map(state.askers)
+  waiting.delete(attempt)
   return {
     ...state,
-    askers,
+    askers: waiting,
     keys: new Map(state.keys).set(key, {
       ...line,
       durable: record.durable,
@@ -205,17 +205,17 @@
 /** Handles a durable write: grants the keys of its lines to the waiting entries. */
 export function takeWritten(state: RegisterState): RegisterStep {
   const keys = new Map(state.keys)
-  const askers = new Map(state.askers)
+  const waiting = new Map(state.askers)
   const effects: RegisterEffect[] = []
   for (const {key, attempt} of state.writing) {
     const record = keys.get(key)
     if (record?.attempt === attempt) keys.set(key, {...record, durable: true})
-    const entry = askers.get(attempt)
+    const entry = waiting.get(attempt)
     if (entry === undefined) continue
-    askers.delete(attempt)
+    waiting.delete(attempt)
     effects.push(sendReserved(entry, key, attempt))
   }
-  return {state: {...state, keys, askers, writing: []}, effects}
+  return {state: {...state, keys, askers: waiting, writing: []}, effects}
 }
 
 /**
@@ -225,23 +225,23 @@
  */
 export function takeUnwritten(state: RegisterState): RegisterStep {
   const keys = new Map(state.keys)
-  const askers = new Map(state.askers)
+  const waiting = new Map(state.askers)
   const effects: RegisterEffect[] = []
   const corrections: RegisterLine[] = []
   for (const line of state.writing) {
-    const entry = askers.get(line.attempt)
+    const entry = waiting.get(line.attempt)
     if (line.state !== "started" || entry === undefined) {
       corrections.push(line)
       continue
     }
-    askers.delete(line.attempt)
+    waiting.delete(line.attempt)
     const ended: RegisterLine = {...line, state: "not-run"}
     keys.set(line.key, {...ended, durable: false, inherited: false})
     corrections.push(ended)
     effects.push(sendKnown(entry, line.key, line.attempt, "no-record"))
   }
   const pending = [...corrections, ...state.pending]
-  return {state: {...state, keys, askers, writing: [], pending}, effects}
+  return {state: {...state, keys, askers: waiting, writing: [], pending}, effects}
 }
 
 /** Removes the keys past their retention time. */
