--- a/src/core/ownership.ts
+++ b/src/core/ownership.ts
@@ -133,7 +133,8 @@
   const absent = new Map<string, number>()
   for (const [share, {owner}] of shares) {
     if (owner === "" || owner === state.self || keepers.has(owner)) continue
-    const isSameOwner = state.shares.get(share)?.owner === owner
+    const previous = state.shares.get(share)
+    const isSameOwner = previous?.owner === owner
     absent.set(share, isSameOwner ? (state.absentSince.get(share) ?? now) : now)
   }
   return absent
--- a/test/keeper.test.ts
+++ b/test/keeper.test.ts
@@ -1,4 +1,4 @@
-/** Orders of events that processes rarely reach, given to the keeper's core directly. */
+/** Rare event orders, applied directly to the core of a keeper. */
 import t from "tap"
 import {
   createKeeper,
@@ -59,7 +59,7 @@
   now = 1_000
   effects: readonly KeeperEffect[] = []
 
-  take(event: KeeperEvent): this {
+  apply(event: KeeperEvent): this {
     const step = stepKeeper(this.state, event, this.now, OPTIONS)
     this.state = step.state
     this.effects = step.effects
@@ -72,18 +72,18 @@
     )
   }
 
-  /** Claims everything, with adapter x loaded and an entry that holds nothing. */
-  own(): this {
+  /** Claims all shares, with adapter x loaded and a linked entry that holds nothing. */
+  claimAll(): this {
     const keepers = new Map([["keeper-0", {address: "", ops: "", dataCentre: "a"}]])
     const entries = new Map([["entry-0", {address: "", ops: "", dataCentre: "a"}]])
-    this.take({type: "config", config: restoreSnapshot(RECORDS, 1)})
-    this.take({type: "shares", shares: new Map(), keepers, entries})
-    this.take({type: "lease-renewed", sentAt: this.now})
-    this.take({type: "tick", epoch: 0})
+    this.apply({type: "config", config: restoreSnapshot(RECORDS, 1)})
+    this.apply({type: "shares", shares: new Map(), keepers, entries})
+    this.apply({type: "lease-renewed", sentAt: this.now})
+    this.apply({type: "tick", epoch: 0})
     for (const effect of this.effects) {
       if (effect.type !== "change-share") continue
       const result = {result: "done", revision: 7} as const
-      this.take({type: "share-changed", change: effect.change, result})
+      this.apply({type: "share-changed", change: effect.change, result})
     }
     const hello = {
       t: "hello" as const,
@@ -93,7 +93,7 @@
       dataCentre: "a",
       generation: 1
     }
-    this.take({type: "link-up", hello})
+    this.apply({type: "link-up", hello})
     const message = {
       t: "inventory",
       cell: "cell-1",
@@ -101,15 +101,15 @@
       running: [],
       held: []
     } as const
-    this.take({type: "message", from: "entry-0", message})
-    this.take({type: "tick", epoch: 0})
-    this.list(["base/x@1"])
+    this.apply({type: "message", from: "entry-0", message})
+    this.apply({type: "tick", epoch: 0})
+    this.applyList(["base/x@1"])
     return this
   }
 
-  list(models: string[]): void {
+  applyList(models: string[]): void {
     const sentAt = this.now
-    this.take({
+    this.apply({
       type: "order-result",
       cell: "cell-1",
       engine: "engine-0",
@@ -130,67 +130,67 @@
       model,
       patienceMs: 60_000
     } as const
-    return this.take({type: "message", from: "entry-0", message})
+    return this.apply({type: "message", from: "entry-0", message})
   }
 }
 
-t.test("an adapter nobody holds is unloaded for one that is asked for", async t => {
-  t.same(new Subject().own().ask("base/y@1").orders(), ["unload"])
+t.test("an adapter without holders is unloaded for a requested one", async t => {
+  t.same(new Subject().claimAll().ask("base/y@1").orders(), ["unload"])
 })
 
-t.test("nothing is unloaded once the lease has run out by the own clock", async t => {
-  const subject = new Subject().own()
+t.test("nothing is unloaded after the lease expired on the own clock", async t => {
+  const subject = new Subject().claimAll()
   subject.now += DEFAULT_TIMING.leaseTtlMs
   t.same(subject.ask("base/y@1").orders(), [])
 })
 
 t.test(
-  "a new lease alone gives no right to unload: the cell must be claimed again",
+  "a new lease alone permits no unload until the cell has been claimed again",
   async t => {
-    const subject = new Subject().own()
-    subject.take({type: "lease-lost"})
-    subject.take({type: "lease-renewed", sentAt: subject.now})
+    const subject = new Subject().claimAll()
+    subject.apply({type: "lease-lost"})
+    subject.apply({type: "lease-renewed", sentAt: subject.now})
     t.same(subject.ask("base/y@1").orders(), [])
-    subject.take({type: "tick", epoch: 0})
+    subject.apply({type: "tick", epoch: 0})
     const claims = subject.effects.filter(effect => effect.type === "change-share")
     t.match(claims, [{change: {share: "cell:cell-1", fence: 2, expectRevision: 7}}, {}])
   }
 )
 
-t.test("an entry known to the service only is waited for", async t => {
-  const subject = new Subject().own()
+t.test("a registered entry without a link blocks evictions until gone", async t => {
+  const subject = new Subject().claimAll()
   const entries = new Map([["entry-1", {address: "", ops: "", dataCentre: "a"}]])
   const keepers = new Map([["keeper-0", {address: "", ops: "", dataCentre: "a"}]])
-  subject.take({type: "shares", shares: new Map(), keepers, entries})
+  subject.apply({type: "shares", shares: new Map(), keepers, entries})
   t.same(subject.ask("base/y@1").orders(), [])
-  subject.take({type: "probed", entry: "entry-1", verdict: "silent"})
+  subject.apply({type: "probed", entry: "entry-1", verdict: "silent"})
   t.same(subject.orders(), [])
-  subject.take({type: "probed", entry: "entry-1", verdict: "gone"})
+  subject.apply({type: "probed", entry: "entry-1", verdict: "gone"})
   t.same(subject.orders(), ["unload"])
 })
 
-t.test("a stream may outlive its entry at an engine that resumes streams", async t => {
+t.test("a stream may outlive its entry on an engine that resumes streams", async t => {
   const resuming = RECORDS.map((record): SnapshotRecord => {
     const {value} = record
     if (!value || !("kind" in value) || value.kind !== "model-engine") return record
     return {...record, value: {...value, resumesStreams: true}} as SnapshotRecord
   })
-  const subject = new Subject().own()
-  subject.take({type: "config", config: restoreSnapshot(resuming, 2)})
+  const subject = new Subject().claimAll()
+  subject.apply({type: "config", config: restoreSnapshot(resuming, 2)})
   const entries = new Map([["entry-1", {address: "", ops: "", dataCentre: "a"}]])
   const keepers = new Map([["keeper-0", {address: "", ops: "", dataCentre: "a"}]])
-  subject.take({type: "shares", shares: new Map(), keepers, entries})
+  subject.apply({type: "shares", shares: new Map(), keepers, entries})
   subject.ask("base/y@1")
-  subject.take({type: "probed", entry: "entry-1", verdict: "gone"})
-  t.same(subject.orders(), [], "the engine may still run what the entry had there")
+  subject.apply({type: "probed", entry: "entry-1", verdict: "gone"})
+  t.same(subject.orders(), [], "the engine may still run the entry's streams")
   subject.now += DEFAULT_TIMING.streamLingerMs
-  subject.take({type: "lease-renewed", sentAt: subject.now})
-  subject.take({type: "probed", entry: "entry-1", verdict: "gone"})
+  subject.apply({type: "lease-renewed", sentAt: subject.now})
+  subject.apply({type: "probed", entry: "entry-1", verdict: "gone"})
   t.same(subject.orders(), ["unload"])
 })
 
-t.test("a release that crosses a newer grant is void", async t => {
-  const subject = new Subject().own().ask("base/x@1")
+t.test("a release that crosses a newer grant has no effect", async t => {
+  const subject = new Subject().claimAll().ask("base/x@1")
   t.match(subject.effects, [{message: {t: "grant", grant: 1}}])
   const done = {
     t: "done",
@@ -199,7 +199,7 @@
     engine: "engine-0",
     result: "ok"
   } as const
-  subject.take({type: "message", from: "entry-0", message: done})
+  subject.apply({type: "message", from: "entry-0", message: done})
   const release = {
     t: "release",
     cell: "cell-1",
@@ -208,23 +208,23 @@
     model: "base/x@1",
     grant: 0
   } as const
-  subject.take({type: "message", from: "entry-0", message: release})
+  subject.apply({type: "message", from: "entry-0", message: release})
   t.notOk(subject.ask("base/y@1").orders().includes("unload"), "still held")
-  subject.take({type: "message", from: "entry-0", message: {...release, grant: 1}})
+  subject.apply({type: "message", from: "entry-0", message: {...release, grant: 1}})
   t.same(subject.orders(), ["unload"])
 })
 
 t.test(
-  "a key is granted only after its line is durable, and refused for good if it is not",
+  "a key is granted only after its line is durable, and its attempt fails if the write fails",
   async t => {
-    const subject = new Subject().own()
+    const subject = new Subject().claimAll()
     const opened = {
       type: "register-opened",
       shard: "once:0",
       fence: 1,
       lines: []
     } as const
-    subject.take(opened)
+    subject.apply(opened)
     const reserve = (attempt: string) => {
       const message = {
         t: "reserve",
@@ -233,10 +233,10 @@
         attempt,
         body: "b"
       } as const
-      return subject.take({type: "message", from: "entry-0", message})
+      return subject.apply({type: "message", from: "entry-0", message})
     }
     const written = (result: "done" | "unwritten") =>
-      subject.take({type: "register-written", shard: "once:0", fence: 1, result})
+      subject.apply({type: "register-written", shard: "once:0", fence: 1, result})
     t.match(reserve("r1").effects, [{type: "write-register", lines: [{key: "k"}]}])
     t.match(reserve("r2").effects, [
       {message: {t: "known", attempt: "r2", state: "running"}}
@@ -248,7 +248,7 @@
     t.match(
       reserve("r3").effects,
       [{type: "write-register"}],
-      "it did not run: the key is free"
+      "it did not run, so the key is free"
     )
     t.match(written("done").effects, [{message: {t: "reserved", attempt: "r3"}}])
     t.match(reserve("r4").effects, [{message: {t: "known", state: "running"}}])
@@ -256,11 +256,11 @@
 )
 
 t.test(
-  "a key given up before the log was read is free afterwards, and an end is final",
+  "a key settled as not run before the log was read is free, and an end is final",
   async t => {
-    const subject = new Subject().own()
-    const tell = (message: Extract<KeeperEvent, {type: "message"}>["message"]) =>
-      subject.take({type: "message", from: "entry-0", message})
+    const subject = new Subject().claimAll()
+    const send = (message: Extract<KeeperEvent, {type: "message"}>["message"]) =>
+      subject.apply({type: "message", from: "entry-0", message})
     const reserve = {
       t: "reserve",
       shard: "once:0",
@@ -269,22 +269,22 @@
       body: "b"
     } as const
     const settle = {t: "settle", shard: "once:0", key: "k", attempt: "r1"} as const
-    tell(reserve)
-    tell({...settle, state: "not-run"})
-    subject.take({type: "register-opened", shard: "once:0", fence: 1, lines: []})
-    subject.take({type: "register-written", shard: "once:0", fence: 1, result: "done"})
+    send(reserve)
+    send({...settle, state: "not-run"})
+    subject.apply({type: "register-opened", shard: "once:0", fence: 1, lines: []})
+    subject.apply({type: "register-written", shard: "once:0", fence: 1, result: "done"})
     subject.now += DEFAULT_TIMING.commitIntervalMs
-    tell({...reserve, attempt: "r2"})
+    send({...reserve, attempt: "r2"})
     const written = {
       type: "register-written",
       shard: "once:0",
       fence: 1,
       result: "done"
     } as const
-    t.match(subject.take(written).effects, [{message: {t: "reserved", attempt: "r2"}}])
-    tell({...settle, attempt: "r2", state: "answered"})
-    tell({...settle, attempt: "r2", state: "not-run"})
-    t.match(tell({...reserve, attempt: "r3"}).effects.at(-1), {
+    t.match(subject.apply(written).effects, [{message: {t: "reserved", attempt: "r2"}}])
+    send({...settle, attempt: "r2", state: "answered"})
+    send({...settle, attempt: "r2", state: "not-run"})
+    t.match(send({...reserve, attempt: "r3"}).effects.at(-1), {
       message: {state: "answered"}
     })
   }
--- a/test/ownership.test.ts
+++ b/test/ownership.test.ts
@@ -1,4 +1,4 @@
-/** Ownership of engines: death, pause and return of the owner, with and without fences. */
+/** Ownership of engines when the owner is killed or paused, with and without fences. */
 import t from "tap"
 import {Calls} from "./support/calls.js"
 import {Deployment, getJson} from "./support/deployment.js"
@@ -8,7 +8,7 @@
 for (const fences of [true, false]) {
   const kind = fences ? "checks fences" : "checks no fences"
 
-  t.test(`an engine that ${kind} goes on when its owner is killed`, async t => {
+  t.test(`an engine that ${kind} keeps serving when its owner is killed`, async t => {
     const engines = [{fences, slots: 2}]
     const deployment = await Deployment.start({boxes: 2, engines, adapters: 6})
     t.teardown(() => deployment.stop())
@@ -18,13 +18,13 @@
     t.match(await calls.send(other, {model: deployment.models[0]}), {kind: "answered"})
 
     const pinned = calls.send(other, {model: deployment.models[0], tokens: 700})
-    await until("it runs", async () => (await calls.startsOf("call-1")).length > 0)
+    await until("start", async () => (await calls.startsOf("call-1")).length > 0)
     await owner.keeper.end("SIGKILL")
     const without = await calls.send(other, {model: deployment.models[0]})
     t.match(without, {kind: "answered"}, "served without an owner, on a held adapter")
-    t.ok(without.elapsedMs < 1_000, "and at once")
+    t.ok(without.elapsedMs < 1_000, "without delay")
 
-    // Room for one adapter is left beside the one in use: these need evictions of the new owner.
+    // Only one slot is free beside the adapter in use, so the new owner must evict.
     for (const model of deployment.models.slice(1)) {
       t.match(await calls.send(other, {model}), {kind: "answered"})
     }
@@ -33,7 +33,7 @@
   })
 
   t.test(
-    `an owner paused for longer than its lease unloads nothing of an engine that ${kind}`,
+    `an owner paused for longer than its lease unloads nothing from an engine that ${kind}`,
     async t => {
       const engines = [{fences, slots: 2}]
       const deployment = await Deployment.start({boxes: 2, engines, adapters: 6})
@@ -43,17 +43,17 @@
       const other = deployment.otherThan(owner)
       for (const model of deployment.models.slice(0, 2)) await calls.send(other, {model})
 
-      // An ask that needs an eviction waits in the paused owner's buffers.
+      // A request that needs an eviction waits in the socket buffers of the paused owner.
       owner.keeper.signal("SIGSTOP")
       const waiting = calls.send(other, {model: deployment.models[2]})
-      await until("another owner", async () => {
+      await until("another owner of the cell", async () => {
         const state = await getJson(`http://${other.keeperOps}/state`)
         return "cell:cell-1" in state.owned
       })
       const pinned = calls.send(other, {model: deployment.models[1], tokens: 400})
       t.match(await waiting, {kind: "answered"})
       owner.keeper.signal("SIGCONT")
-      await until("the old owner has seen it", async () => {
+      await until("the old owner drops the cell", async () => {
         const state = await getJson(`http://${owner.keeperOps}/state`).catch(
           () => undefined
         )
@@ -74,7 +74,7 @@
 }
 
 t.test(
-  "in an outage of the key-value service the owner serves, loads, and evicts nothing",
+  "during an outage of the key-value service the owner serves and loads, but doesn't evict",
   async t => {
     const deployment = await Deployment.start({engines: [{slots: 2}], adapters: 4})
     t.teardown(() => deployment.stop())
@@ -84,7 +84,7 @@
     const [first, second, third] = deployment.models
     await calls.send(box, {model: first})
     deployment.kv.proxy.set({blockUp: true, blockDown: true})
-    await until("the lease ran out", async () => {
+    await until("the lease expires", async () => {
       return !(await getJson(`http://${box.keeperOps}/state`)).holdsLease
     })
     t.match(await calls.send(box, {model: first}), {kind: "answered"})
@@ -99,13 +99,13 @@
     t.match(
       await calls.send(box, {model: third}),
       {kind: "answered"},
-      "evicts again afterwards"
+      "evicts again after the outage"
     )
     t.equal(await calls.violations(), "")
   }
 )
 
-t.test("an engine restarted empty is loaded again for those who wait", async t => {
+t.test("adapters are loaded again for requests after an engine restart", async t => {
   const deployment = await Deployment.start({adapters: 4})
   t.teardown(() => deployment.stop())
   const calls = new Calls(deployment)
