--- a/test/policies.test.ts
+++ b/test/policies.test.ts
@@ -1,4 +1,4 @@
-/** Policy programs of operators: checked, bounded, never trusted, and swapped on live traffic. */
+/** Operators' policy programs: checks, bounds, fallback, and activation under traffic. */
 import t from "tap"
 import {decide, MAX_POLICY_FAULTS} from "../src/core/cell-policy.js"
 import type {CellDraft} from "../src/core/cell-state.js"
@@ -17,16 +17,16 @@
   name: "mine@7"
 })
 
-/** A cell of two engines that both have the adapter, decided by a policy. */
+/** A cell with a policy and two engines that both have the adapter. */
 function createSubject(policy: Policy): TestCell {
   const engines = ["engine-0", "engine-1"]
   return new TestCell({engines, slots: 2, models: ["base/x@1"], policy})
 }
 
-const notes = (cell: CellDraft, event: string) =>
+const countEvents = (cell: CellDraft, event: string) =>
   cell.effects.filter(effect => effect.type === "note" && effect.event === event).length
 
-t.test("all findings of a policy come at once, with line and column", async t => {
+t.test("the check reports all findings at once, with line and column", async t => {
   t.match(
     findings({
       serve: "engine.running +\n  engine.runing",
@@ -46,7 +46,7 @@
   t.match(checkPolicy({program: "nothing"}), [{place: "/program"}])
 })
 
-t.test("what could loop, grow or take its time does not pass the check", async t => {
+t.test("the check rejects rules with unbounded time or memory", async t => {
   const bad = [
     "[1, 2].map(x, x)[0]",
     "request.organisation.matches('(a+)+$') ? 1.0 : 0.0",
@@ -58,10 +58,10 @@
   for (const serve of bad) t.ok(findings({serve}).length > 0, serve.slice(0, 40))
 })
 
-t.test("a policy ranks, and its rules see the engines as they are", async t => {
+t.test("a policy ranks engines by their current state", async t => {
   const fullest = createSubject(rulePolicy({serve: "-engine.running"}))
   t.equal(fullest.place("r0"), "engine-0")
-  t.equal(fullest.place("r1"), "engine-0", "batches are filled one after the other")
+  t.equal(fullest.place("r1"), "engine-0", "fills one batch after the other")
   const limited = createSubject(
     rulePolicy({limit: "request.organisation == 'cotejo' ? 1 : 9"})
   )
@@ -69,13 +69,13 @@
   t.equal(
     limited.place("r1", {organisation: "cotejo"}),
     undefined,
-    "as many as the policy lets it"
+    "the limit of the policy is reached"
   )
-  t.ok(limited.place("r2", {organisation: "other"}), "nobody else waits for it")
+  t.ok(limited.place("r2", {organisation: "other"}), "the limit does not apply to others")
 })
 
 t.test(
-  "a policy that fails or answers nonsense falls back, and is suspended",
+  "a policy that throws or ranks by NaN is replaced by the built-in one and suspended",
   async t => {
     const throwing: Policy = {
       ...BUILT_IN_POLICY,
@@ -88,44 +88,44 @@
       const subject = createSubject(policy)
       const {cell} = subject
       for (let count = 0; count < 16; count++)
-        t.ok(subject.place(`r${count}`), "served all the same")
-      t.equal(notes(cell, "policy-fault"), 16)
+        t.ok(subject.place(`r${count}`), "served by the built-in policy")
+      t.equal(countEvents(cell, "policy-fault"), 16)
       for (let count = 16; count < 2 * MAX_POLICY_FAULTS; count++) {
         cell.running.clear()
         t.ok(subject.place(`r${count}`))
       }
-      t.equal(notes(cell, "policy-fault"), MAX_POLICY_FAULTS)
-      t.equal(notes(cell, "policy-suspended"), 1)
-      const next = {...policy, name: "mended@2", rankServing: () => ["engine-1"]}
+      t.equal(countEvents(cell, "policy-fault"), MAX_POLICY_FAULTS)
+      t.equal(countEvents(cell, "policy-suspended"), 1)
+      const next = {...policy, name: "fixed@2", rankServing: () => ["engine-1"]}
       const policies = {policy: next, builtIn: BUILT_IN_POLICY}
-      const asked = decide(cell, policies, ({name}) => name)
-      t.equal(asked, "mended@2", "another version decides again")
+      const deciding = decide(cell, policies, ({name}) => name)
+      t.equal(deciding, "fixed@2", "a new version is not suspended")
     }
   }
 )
 
 t.test(
-  "engines a policy leaves out or invents change nothing that must hold",
+  "a policy that omits the engines and ranks unknown ones still gets requests served",
   async t => {
-    const invents = {...BUILT_IN_POLICY, name: "odd@1", rankServing: () => ["engine-9"]}
-    t.match(createSubject(invents).place("r0"), /^engine-[01]$/)
+    const odd = {...BUILT_IN_POLICY, name: "odd@1", rankServing: () => ["engine-9"]}
+    t.match(createSubject(odd).place("r0"), /^engine-[01]$/)
   }
 )
 
-t.test("a policy is proposed, checked, activated and gone back from, live", async t => {
+t.test("a policy is proposed, checked, activated and replaced under traffic", async t => {
   const deployment = await Deployment.start({engines: [{slots: 1}], adapters: 3})
   t.teardown(() => deployment.stop())
   const calls = new Calls(deployment)
   const [box] = deployment.boxes
   if (!box) return
   const long = calls.send(box, {tokens: 400, tag: "long"})
-  await until("it runs", async () => (await calls.startsOf("long")).length > 0)
+  await until("the request runs", async () => (await calls.startsOf("long")).length > 0)
   const put = (id: string, rules: RuleTexts) =>
     deployment.change([{kind: "policy", id, value: {program: "rules", rules}}])
   const activate = (policy: string) =>
     deployment.change([{kind: "activation", id: "active", value: {policy}}])
-  const inForce = () =>
-    until("in force", async () => {
+  const activeName = () =>
+    until("a policy is active", async () => {
       const {cells} = await getJson(`http://${box.keeperOps}/state`)
       return cells[0]?.policy as string | undefined
     })
@@ -136,18 +136,18 @@
   const {generation} = await put("fresh", {evict: "-adapter.idleMs"})
   await activate("fresh")
   const name = `fresh@${generation}`
-  await until("the keeper decides by it", async () => (await inForce()) === name)
+  await until("the keeper applies it", async () => (await activeName()) === name)
   await t.rejects(put("fresh", {evict: "adapter.idleMs"}), {
     code: "invalid-change",
     findings: [{message: /is in force/}]
   })
-  t.match(await long, {kind: "answered", tokens: 400}, "requests in progress go on")
+  t.match(await long, {kind: "answered", tokens: 400}, "requests in progress continue")
   for (const model of deployment.models) {
     t.match(await calls.send(box, {model}), {kind: "answered"})
   }
   t.ok(box.keeper.output.includes(`"policy":"${name}"`), "decisions name the version")
   await put("old", {})
   await activate("old")
-  await until("gone back", async () => (await inForce()).startsWith("old@"))
+  await until("replaced", async () => (await activeName()).startsWith("old@"))
   t.equal(await calls.violations(), "")
 })
--- a/test/schedule.test.ts
+++ b/test/schedule.test.ts
@@ -1,4 +1,4 @@
-/** What a cell loads and evicts, decided in one pass. */
+/** Loads and evictions of one scheduling pass over a cell. */
 import t from "tap"
 import {BUILT_IN_POLICY, restoreSnapshot} from "../src/index.js"
 import type {SnapshotRecord} from "../src/types/config.js"
@@ -32,19 +32,19 @@
   })
 }
 
-t.test("no more is evicted than the load budget can replace", async t => {
+t.test("evicts no more adapters than the load budget can replace", async t => {
   const subject = createSubject(0)
   for (const model of MODELS.slice(4)) subject.place(model, {model})
-  t.same(subject.orders(), ["unload"], "one load may follow, and three adapters wait")
+  t.same(subject.orders(), ["unload"], "one load is allowed, and three adapters wait")
 })
 
-t.test("a policy may keep a load for whoever cannot wait", async t => {
+t.test("a policy can reserve a load for requests that cannot wait", async t => {
   const [, , , , cold, other] = MODELS
   const subject = createSubject(1)
   subject.place("r0", {model: cold, class: "overnight"})
-  t.same(subject.orders(), [], "the only load of the budget is kept")
+  t.same(subject.orders(), [], "the only load of the budget is reserved")
   subject.place("r1", {model: other})
-  t.same(subject.orders(), ["unload"], "and there for the till")
+  t.same(subject.orders(), ["unload"], "the till gets the reserved load")
   const without = createSubject(0)
   without.place("r0", {model: cold, class: "overnight"})
   t.same(without.orders(), ["unload"])
