--- a/src/core/changes.ts
+++ b/src/core/changes.ts
@@ -1,4 +1,4 @@
-/** Checks a proposed change against the configuration; all findings are collected. */
+/** Validates a proposed change against the configuration and collects all findings. */
 import type {Finding} from "../errors.js"
 import type {
   Adapter,
@@ -14,13 +14,13 @@
 import {isValidId, type ProposedRecord, RECORD_SCHEMAS} from "../types/records.js"
 import {applyChanges, cellsOf, enginesOfCell, findRecord} from "./configuration.js"
 
-/** A record that was changed by somebody else since the operator looked. */
+/** A record that another operator has changed since this operator read it. */
 export interface Conflict {
   readonly kind: RecordKind
   readonly id: string
   readonly yours: unknown
   readonly theirs: unknown
-  /** Who made theirs, and in which generation. */
+  /** The generation that last changed the record; 0 if it does not exist. */
   readonly generation: number
 }
 
@@ -31,17 +31,17 @@
 }
 
 export interface ChangeRules {
-  /** All that is wrong with a policy, by place below its value. */
+  /** Returns the faults of a policy, with places relative to its value. */
   readonly checkPolicy: (policy: PolicyRecord) => readonly Finding[]
-  /** Engines of a cell. */
+  /** Largest number of engines in a cell. */
   readonly cellSize: number
-  /** Adapter versions that engines serve now; they are not retired. */
+  /** Adapter versions that engines currently serve; they cannot be retired. */
   readonly versionsInUse: ReadonlySet<string>
-  /** The generation the operator's view was of: what changed since conflicts. */
+  /** The generation that the operator has seen; records changed since then conflict. */
   readonly seen: number
 }
 
-/** Checks every record, and the configuration that would come of all together. */
+/** Validates each record, and the configuration that results from all of them together. */
 export function checkChange(
   config: Configuration,
   proposed: readonly ProposedRecord[],
@@ -49,24 +49,24 @@
 ): CheckedChange {
   const findings: Finding[] = []
   const records = proposed.map((record, index) =>
-    readRecord(record, `/records/${index}`, findings)
+    parseRecord(record, `/records/${index}`, findings)
   )
-  const placed = assignCells(config, records, rules.cellSize)
+  const withCells = assignCells(config, records, rules.cellSize)
   if (findings.length === 0) {
-    const next = preview(config, placed)
-    placed.forEach((record, index) =>
+    const next = preview(config, withCells)
+    withCells.forEach((record, index) =>
       checkRecord(config, next, record, `/records/${index}`, rules, findings)
     )
-    findings.push(...findBrokenReferences(next, placed))
+    findings.push(...findBrokenReferences(next, withCells))
   }
   return {
-    records: placed,
+    records: withCells,
     findings,
     conflicts: findConflicts(config, proposed, rules.seen)
   }
 }
 
-function readRecord(
+function parseRecord(
   {kind, id, value}: ProposedRecord,
   place: string,
   findings: Finding[]
@@ -114,50 +114,50 @@
   rules: ChangeRules,
   findings: Finding[]
 ): void {
-  const say = (path: string, message: string) =>
+  const addFinding = (path: string, message: string) =>
     void findings.push({place: place + path, message})
   if (value === undefined) {
-    if (!findRecord(config, kind, id)) say("", "does not exist")
+    if (!findRecord(config, kind, id)) addFinding("", "does not exist")
     if (kind === "version" && rules.versionsInUse.has(id))
-      say("", "is in use by an engine")
+      addFinding("", "is in use by an engine")
     return
   }
-  const need = (of: RecordKind, name: string, path: string) => {
-    if (!findRecord(next, of, name)) say(path, `no ${of} is named ${name}`)
+  const requireRecord = (of: RecordKind, name: string, path: string) => {
+    if (!findRecord(next, of, name)) addFinding(path, `no ${of} is named ${name}`)
   }
   switch (kind) {
     case "adapter": {
       const adapter = value as Adapter
-      need("baseModel", adapter.baseModel, "/value/baseModel")
-      need("organisation", adapter.organisation, "/value/organisation")
-      const before = findRecord(config, "adapter", id)?.value
-      if (before && before.baseModel !== adapter.baseModel) {
-        say("/value/baseModel", "cannot change; create another adapter")
+      requireRecord("baseModel", adapter.baseModel, "/value/baseModel")
+      requireRecord("organisation", adapter.organisation, "/value/organisation")
+      const current = findRecord(config, "adapter", id)?.value
+      if (current && current.baseModel !== adapter.baseModel) {
+        addFinding("/value/baseModel", "cannot change; create another adapter")
       }
-      if (before && before.organisation !== adapter.organisation) {
-        say("/value/organisation", "cannot change; create another adapter")
+      if (current && current.organisation !== adapter.organisation) {
+        addFinding("/value/organisation", "cannot change; create another adapter")
       }
       return
     }
     case "version":
-      return checkVersion(config, id, value as AdapterVersion, need, say)
+      return checkVersion(config, id, value as AdapterVersion, requireRecord, addFinding)
     case "backend": {
       const server = value as BackendServer
       if (server.kind === "model-engine")
-        need("baseModel", server.baseModel, "/value/baseModel")
+        requireRecord("baseModel", server.baseModel, "/value/baseModel")
       return
     }
     case "policy": {
-      if (isInForce(config, id) && !isSame(config, id, value as PolicyRecord)) {
-        say("", "is in force; propose it under another name")
+      if (isActive(config, id) && !isUnchanged(config, id, value as PolicyRecord)) {
+        addFinding("", "is in force; propose it under another name")
       }
       for (const finding of rules.checkPolicy(value as PolicyRecord)) {
-        say(`/value${finding.place}`, finding.message)
+        addFinding(`/value${finding.place}`, finding.message)
       }
       return
     }
     case "activation":
-      return need("policy", (value as {policy: string}).policy, "/value/policy")
+      return requireRecord("policy", (value as {policy: string}).policy, "/value/policy")
     case "baseModel":
     case "organisation":
     case "operator":
@@ -165,33 +165,37 @@
   }
 }
 
-function isInForce(config: Configuration, policy: string): boolean {
+function isActive(config: Configuration, policy: string): boolean {
   return [...config.tables.activation.values()].some(({value}) => value.policy === policy)
 }
 
-function isSame(config: Configuration, policy: string, value: PolicyRecord): boolean {
-  const known = findRecord(config, "policy", policy)?.value
-  return JSON.stringify(known) === JSON.stringify(value)
+function isUnchanged(
+  config: Configuration,
+  policy: string,
+  value: PolicyRecord
+): boolean {
+  const current = findRecord(config, "policy", policy)?.value
+  return JSON.stringify(current) === JSON.stringify(value)
 }
 
 function checkVersion(
   config: Configuration,
   id: string,
   version: AdapterVersion,
-  need: (kind: RecordKind, name: string, path: string) => void,
-  say: (path: string, message: string) => void
+  requireRecord: (kind: RecordKind, name: string, path: string) => void,
+  addFinding: (path: string, message: string) => void
 ): void {
-  need("adapter", version.adapter, "/value/adapter")
+  requireRecord("adapter", version.adapter, "/value/adapter")
   if (id !== `${version.adapter}@${version.version}`) {
-    say("/id", `must be ${version.adapter}@${version.version}`)
+    addFinding("/id", `must be ${version.adapter}@${version.version}`)
   }
-  const before = findRecord(config, "version", id)?.value
-  if (before && before.weights !== version.weights) {
-    say("/value/weights", "cannot change: versions are immutable once named")
+  const current = findRecord(config, "version", id)?.value
+  if (current && current.weights !== version.weights) {
+    addFinding("/value/weights", "cannot change: versions are immutable once named")
   }
 }
 
-/** What a retirement would leave behind without what it names. */
+/** Finds retired records that other records still refer to. */
 function findBrokenReferences(
   next: Configuration,
   records: readonly RecordChange[]
@@ -199,15 +203,20 @@
   const findings: Finding[] = []
   records.forEach(({kind, id, value}, index) => {
     if (value !== undefined) return
-    const user = findUser(next, kind, id)
-    if (user) findings.push({place: `/records/${index}`, message: `is named by ${user}`})
+    const referrer = findReferrer(next, kind, id)
+    if (referrer)
+      findings.push({place: `/records/${index}`, message: `is named by ${referrer}`})
   })
   return findings
 }
 
-function findUser(next: Configuration, kind: RecordKind, id: string): string | undefined {
+function findReferrer(
+  next: Configuration,
+  kind: RecordKind,
+  id: string
+): string | undefined {
   const {adapter, version, backend, activation} = next.tables
-  const users: readonly [string, ReadonlyMap<string, {value: object}>, string][] =
+  const referrers: readonly [string, ReadonlyMap<string, {value: object}>, string][] =
     kind === "baseModel"
       ? [
           ["adapter", adapter, "baseModel"],
@@ -220,7 +229,7 @@
           : kind === "policy"
             ? [["activation", activation, "policy"]]
             : []
-  for (const [label, table, field] of users) {
+  for (const [label, table, field] of referrers) {
     for (const [name, {value}] of table) {
       if ((value as Record<string, unknown>)[field] === id) return `${label} ${name}`
     }
@@ -230,7 +239,7 @@
 
 // Cells
 
-/** Puts engines without a cell into the first one of their base model that has room. */
+/** Assigns engines without a cell to the first cell that has room, or to a new one. */
 function assignCells(
   config: Configuration,
   records: readonly RecordChange[],
@@ -241,10 +250,10 @@
   return records.map(record => {
     const server = record.value as BackendServer | undefined
     if (record.kind !== "backend" || server?.kind !== "model-engine") return record
-    const known = findRecord(config, "backend", record.id)?.value
-    const kept = known?.kind === "model-engine" ? known.cell : undefined
-    const cell = server.cell ?? kept ?? pickCell(sizes, cellSize)
-    if (cell !== kept) sizes.set(cell, (sizes.get(cell) ?? 0) + 1)
+    const current = findRecord(config, "backend", record.id)?.value
+    const currentCell = current?.kind === "model-engine" ? current.cell : undefined
+    const cell = server.cell ?? currentCell ?? pickCell(sizes, cellSize)
+    if (cell !== currentCell) sizes.set(cell, (sizes.get(cell) ?? 0) + 1)
     return {...record, value: {...server, cell} satisfies ModelEngine}
   })
 }
--- a/src/core/configuration.ts
+++ b/src/core/configuration.ts
@@ -1,4 +1,4 @@
-/** The configuration as a fold over its log: generations only grow. */
+/** Builds the configuration from its log of changes. Generations only increase. */
 import {
   RECORD_KINDS,
   type ConfigChange,
@@ -12,7 +12,7 @@
   type Versioned
 } from "../types/config.js"
 
-/** The configuration before the first change. */
+/** Returns the configuration before the first change. */
 export function emptyConfiguration(): Configuration {
   return {
     generation: 0,
@@ -29,13 +29,13 @@
   }
 }
 
-/** Applies the changes that follow on without a gap, whatever their order or overlap. */
+/** Applies the changes that continue the configuration without a gap, in any input order. */
 export function applyChanges(
   config: Configuration,
   changes: readonly ConfigChange[]
 ): Configuration {
   const sorted = [...changes].sort((a, b) => a.generation - b.generation)
-  const next = openTables(config.tables)
+  const next = copyOnWrite(config.tables)
   let generation = config.generation
   for (const change of sorted) {
     if (change.generation !== generation + 1) continue
@@ -47,17 +47,17 @@
   return {generation, tables: next.close()}
 }
 
-/** The configuration a snapshot holds. */
+/** Builds the configuration from the records of a snapshot. */
 export function restoreSnapshot(
   records: readonly SnapshotRecord[],
   generation: number
 ): Configuration {
-  const next = openTables(emptyConfiguration().tables)
+  const next = copyOnWrite(emptyConfiguration().tables)
   for (const record of records) next.put(record)
   return {generation, tables: next.close()}
 }
 
-/** All records, for a snapshot. */
+/** Returns all records, for a snapshot. */
 export function listRecords(config: Configuration): SnapshotRecord[] {
   const records: SnapshotRecord[] = []
   for (const kind of RECORD_KINDS) {
@@ -68,8 +68,8 @@
   return records
 }
 
-/** Copies a table at its first change only, so that untouched ones stay shared. */
-function openTables(tables: ConfigTables) {
+/** Copies each table on its first write; unchanged tables stay shared. */
+function copyOnWrite(tables: ConfigTables) {
   const copies: Partial<Record<RecordKind, Map<string, Versioned<unknown>>>> = {}
   return {
     put({kind, id, value, generation}: SnapshotRecord): void {
@@ -83,7 +83,6 @@
   }
 }
 
-/** A record by kind and name. */
 export function findRecord<K extends RecordKind>(
   config: Configuration,
   kind: K,
@@ -92,7 +91,7 @@
   return config.tables[kind].get(id) as Versioned<RecordTypes[K]> | undefined
 }
 
-/** What a caller's model name resolves to. */
+/** The parts of a model name sent by a caller, and the location of its weights. */
 export interface ResolvedModel {
   readonly name: string
   readonly baseModel: string
@@ -100,7 +99,7 @@
   readonly weights: string
 }
 
-/** Resolves `base/adapter@version`; undefined when any part is not configured. */
+/** Resolves `base/adapter@version`. Undefined if any part is not configured. */
 export function resolveModel(
   config: Configuration,
   name: string
@@ -114,7 +113,7 @@
   return {name, baseModel, adapter: adapterName, weights: version.value.weights}
 }
 
-/** What the backend servers of a configuration make up, worked out once for each table. */
+/** Backend servers by cell, base model and service, computed once per table of records. */
 interface BackendIndex {
   readonly cells: ReadonlyMap<string, ReadonlyMap<string, ModelEngine>>
   readonly cellsByBase: ReadonlyMap<string, readonly string[]>
@@ -126,19 +125,19 @@
 
 function indexBackends(config: Configuration): BackendIndex {
   const table = config.tables.backend
-  const known = backendIndexes.get(table)
-  if (known) return known
+  const cached = backendIndexes.get(table)
+  if (cached) return cached
   const cells = new Map<string, Map<string, ModelEngine>>()
   const bases = new Map<string, Set<string>>()
   const services = new Map<string, Map<string, PlainService>>()
   let engineCount = 0
   for (const [id, {value}] of table) {
     if (value.kind === "plain-service") {
-      addTo(services, value.service, id, value)
+      addToGroup(services, value.service, id, value)
       continue
     }
     engineCount++
-    addTo(cells, value.cell, id, value)
+    addToGroup(cells, value.cell, id, value)
     bases.set(value.baseModel, (bases.get(value.baseModel) ?? new Set()).add(value.cell))
   }
   const cellsByBase = new Map(
@@ -149,7 +148,7 @@
   return index
 }
 
-function addTo<V>(
+function addToGroup<V>(
   map: Map<string, Map<string, V>>,
   group: string,
   id: string,
@@ -159,7 +158,7 @@
   map.set(group, members.set(id, value))
 }
 
-/** The model engines of a cell, by name. */
+/** Returns the model engines of a cell, by name. */
 export function enginesOfCell(
   config: Configuration,
   cell: string
@@ -167,23 +166,22 @@
   return indexBackends(config).cells.get(cell) ?? new Map()
 }
 
-/** The names of all cells. */
 export function cellsOf(config: Configuration): string[] {
   return [...indexBackends(config).cells.keys()]
 }
 
-/** The cells whose engines run a base model. */
+/** Returns the cells whose engines run a base model. */
 export function cellsOfBase(config: Configuration, baseModel: string): readonly string[] {
   return indexBackends(config).cellsByBase.get(baseModel) ?? []
 }
 
-/** A cell's part of all model engines. */
+/** Returns the fraction of all model engines that are in a cell; 1 if there are none at all. */
 export function shareOfCell(config: Configuration, cell: string): number {
   const {cells, engineCount} = indexBackends(config)
   return engineCount === 0 ? 1 : (cells.get(cell)?.size ?? 0) / engineCount
 }
 
-/** The members of a plain service, by name. */
+/** Returns the members of a plain service, by name. */
 export function membersOfService(
   config: Configuration,
   service: string
@@ -191,7 +189,7 @@
   return indexBackends(config).services.get(service) ?? new Map()
 }
 
-/** The organisation whose key has this hash. */
+/** Returns the organisation with this key hash. */
 export function findOrganisationByKey(
   config: Configuration,
   keyHash: string
--- a/src/core/entry-cells.ts
+++ b/src/core/entry-cells.ts
@@ -1,4 +1,4 @@
-/** What keepers tell an entry, and what the entry holds of their engines. */
+/** Messages of keepers to an entry, and the grants that the entry holds on their engines. */
 import type {Grant, KeeperMessage, Known, Owned, Recall} from "../types/messages.js"
 import type {ErrorCode} from "../errors.js"
 import {
@@ -22,7 +22,7 @@
 import type {EntryRequest, Held} from "./entry-state.js"
 import {CELL_PREFIX, cellShare} from "./keeper-state.js"
 
-/** Takes a message of a keeper. */
+/** Handles a message of a keeper. */
 export function takeKeeperMessage(
   draft: EntryDraft,
   keeper: string,
@@ -32,11 +32,11 @@
   hear(draft, keeper)
   switch (message.t) {
     case "owned":
-      return takeOwned(draft, keeper, message)
+      return applyOwnedShares(draft, keeper, message)
     case "grant":
-      return takeGrant(draft, keeper, message)
+      return handleGrant(draft, keeper, message)
     case "refuse": {
-      const request = findAttempt(draft, message.request)
+      const request = findRequestOfAttempt(draft, message.request)
       if (request?.phase !== "asking" || request.askedOf !== keeper) return
       return refuseRequest(
         draft,
@@ -46,11 +46,11 @@
       )
     }
     case "recall":
-      return takeRecall(draft, keeper, message)
+      return handleRecall(draft, keeper, message)
     case "reserved":
-      return takeReserved(draft, message.attempt)
+      return handleReserved(draft, message.attempt)
     case "known":
-      return takeKnown(draft, message)
+      return handleKnown(draft, message)
     case "ping":
     case "fetch-config":
     case "config-page":
@@ -58,13 +58,16 @@
   }
 }
 
-/** Learns what a keeper owns. For a cell newly owned the inventory goes first, asks follow. */
-function takeOwned(draft: EntryDraft, keeper: string, {shares}: Owned): void {
+/**
+ * Applies the list of shares that a keeper owns. For a newly owned cell the inventory is sent
+ * before any request.
+ */
+function applyOwnedShares(draft: EntryDraft, keeper: string, {shares}: Owned): void {
   const link = draft.links.get(keeper)
   if (!link) return
   const owned = new Map(shares.map(({share, fence}) => [share, fence]))
   draft.links.set(keeper, {...link, owned})
-  forgetAsked(draft, keeper, share => link.owned.get(share) !== owned.get(share))
+  clearAskedKeeper(draft, keeper, share => link.owned.get(share) !== owned.get(share))
   for (const [share, fence] of owned) {
     if (fence < (draft.fences.get(share) ?? 0)) continue
     draft.fences.set(share, fence)
@@ -76,8 +79,8 @@
   askAgain(draft)
 }
 
-/** A keeper that lost a share and took it again has forgotten who asked. */
-function forgetAsked(
+/** Marks requests as not asked, since a keeper that lost and regained a share has dropped them. */
+function clearAskedKeeper(
   draft: EntryDraft,
   keeper: string,
   isNewTerm: (share: string) => boolean
@@ -101,9 +104,9 @@
     const {attempt, backend, target} = request
     running.push({request: attempt, engine: backend, model: target.model})
   }
-  for (const ending of draft.endings.values()) {
-    if (ending.cell !== cell) continue
-    running.push({request: ending.attempt, engine: ending.engine, model: ending.model})
+  for (const ended of draft.endings.values()) {
+    if (ended.cell !== cell) continue
+    running.push({request: ended.attempt, engine: ended.engine, model: ended.model})
   }
   const held = []
   for (const [key, pair] of draft.held) {
@@ -114,23 +117,26 @@
   send(draft, keeper, {t: "inventory", cell, fence, running, held})
 }
 
-/** Requests asked of a keeper that no longer owns their share are asked again. */
+/**
+ * Advances all waiting requests. Those that wait for a keeper that no longer owns their share
+ * are sent to the current owner.
+ */
 export function askAgain(draft: EntryDraft): void {
   for (const [id, request] of draft.requests) {
     if (request.phase === "running") continue
-    if (request.askedOf !== "" && !ownsAny(draft, request)) {
+    if (request.askedOf !== "" && !isAskedKeeperCurrent(draft, request)) {
       updateRequest(draft, id, {askedOf: ""})
     }
     advanceRequest(draft, id)
   }
 }
 
-function ownsAny(draft: EntryDraft, request: EntryRequest): boolean {
+function isAskedKeeperCurrent(draft: EntryDraft, request: EntryRequest): boolean {
   if (request.phase === "reserving") return draft.links.has(request.askedOf)
   return findOwner(draft, cellShare(request.cell)) === request.askedOf
 }
 
-function takeGrant(draft: EntryDraft, keeper: string, grant: Grant): void {
+function handleGrant(draft: EntryDraft, keeper: string, grant: Grant): void {
   const {cell, fence, engine, model} = grant
   if (!isCurrent(draft, cell, fence)) {
     note(draft, "stale-grant", {cell, fence, engine})
@@ -138,7 +144,7 @@
   }
   const held: Held = {cell, engine, model, fence, grant: grant.grant, lastUsed: draft.now}
   draft.held.set(heldKey(held), held)
-  const request = findAttempt(draft, grant.request)
+  const request = findRequestOfAttempt(draft, grant.request)
   const usable =
     findEngine(draft, engine) !== undefined && !draft.state.leaving.has(engine)
   if (request?.phase === "asking" && usable) {
@@ -156,56 +162,59 @@
   }
 }
 
-function takeRecall(
+function handleRecall(
   draft: EntryDraft,
   keeper: string,
   {cell, fence, engine, model}: Recall
 ): void {
   if (!isCurrent(draft, cell, fence)) return
   const held = draft.held.get(heldKey({engine, model}))
-  if (held && !isBusy(draft, held)) releaseHeld(draft, keeper, held)
+  if (held && !isInUse(draft, held)) releaseGrant(draft, keeper, held)
 }
 
-/** Gives back the pairs that were not used for a while. */
+/** Releases the grants that have been idle for the given time. */
 export function releaseIdle(draft: EntryDraft, idleMs: number): void {
   for (const held of [...draft.held.values()]) {
-    if (draft.now - held.lastUsed < idleMs || isBusy(draft, held)) continue
+    if (draft.now - held.lastUsed < idleMs || isInUse(draft, held)) continue
     const owner = findOwner(draft, cellShare(held.cell))
-    if (owner !== undefined) releaseHeld(draft, owner, held)
+    if (owner !== undefined) releaseGrant(draft, owner, held)
   }
 }
 
-function releaseHeld(draft: EntryDraft, keeper: string, held: Held): void {
+function releaseGrant(draft: EntryDraft, keeper: string, held: Held): void {
   draft.held.delete(heldKey(held))
   const {cell, engine, model, grant} = held
   const fence = draft.fences.get(cellShare(cell)) ?? 0
   send(draft, keeper, {t: "release", cell, fence, engine, model, grant})
 }
 
-function isBusy(draft: EntryDraft, {engine, model}: Held): boolean {
+function isInUse(draft: EntryDraft, {engine, model}: Held): boolean {
   for (const {phase, backend, target} of draft.requests.values()) {
     if (phase !== "running" || backend !== engine || target.kind !== "model") continue
     if (target.model === model) return true
   }
-  for (const ending of draft.endings.values()) {
-    if (ending.engine === engine && ending.model === model) return true
+  for (const ended of draft.endings.values()) {
+    if (ended.engine === engine && ended.model === model) return true
   }
   return false
 }
 
-function findAttempt(draft: EntryDraft, attempt: string): EntryRequest | undefined {
+function findRequestOfAttempt(
+  draft: EntryDraft,
+  attempt: string
+): EntryRequest | undefined {
   const request = draft.requests.get(attempt.slice(0, attempt.lastIndexOf(".")))
   return request?.attempt === attempt ? request : undefined
 }
 
-function takeReserved(draft: EntryDraft, id: string): void {
+function handleReserved(draft: EntryDraft, id: string): void {
   const request = draft.requests.get(id)
   if (request?.phase !== "reserving") return
   updateRequest(draft, id, {phase: "asking", askedOf: "", reserved: true})
   advanceRequest(draft, id)
 }
 
-const KNOWN_CODES: Readonly<Record<Known["state"], ErrorCode>> = {
+const CODE_BY_KEY_STATE: Readonly<Record<Known["state"], ErrorCode>> = {
   running: "key-running",
   answered: "key-answered",
   unknown: "key-unknown",
@@ -213,15 +222,15 @@
   "no-record": "no-record"
 }
 
-function takeKnown(draft: EntryDraft, {attempt, state}: Known): void {
+function handleKnown(draft: EntryDraft, {attempt, state}: Known): void {
   const request = draft.requests.get(attempt)
   if (request?.phase !== "reserving") return
   draft.requests.delete(attempt)
-  const comesBack = state === "running" || state === "no-record"
+  const shouldRetry = state === "running" || state === "no-record"
   draft.effects.push({
     type: "answer",
     request: attempt,
-    code: KNOWN_CODES[state],
-    retryAfterMs: comesBack ? RETRY_AFTER_MS : undefined
+    code: CODE_BY_KEY_STATE[state],
+    retryAfterMs: shouldRetry ? RETRY_AFTER_MS : undefined
   })
 }
--- a/src/core/entry-draft.ts
+++ b/src/core/entry-draft.ts
@@ -1,4 +1,4 @@
-/** A working copy of an entry's state for one transition, and the questions asked of it. */
+/** A mutable copy of an entry's state for one transition, with queries on it. */
 import type {EntryMessage} from "../types/messages.js"
 import {cellShare} from "./keeper-state.js"
 import {uniformFloat64} from "../utils/random.js"
@@ -17,7 +17,7 @@
 
 const RETRY_BASE_MS = 20
 
-/** Maps may be changed until `closeEntry`; nobody else sees them. */
+/** The maps are copies and can be changed until `closeEntryDraft`. */
 export interface EntryDraft {
   readonly options: EntryOptions
   readonly now: number
@@ -31,7 +31,6 @@
   readonly effects: EntryEffect[]
 }
 
-/** Opens a working copy. */
 export function openEntry(
   state: EntryState,
   now: number,
@@ -51,7 +50,7 @@
   }
 }
 
-/** Ends the work on a copy. */
+/** Returns the new state and the effects of the transition. */
 export function closeEntry(draft: EntryDraft): EntryStep {
   const {state, links, fences, heardAt, requests, endings, held, effects} = draft
   return {state: {...state, links, fences, heardAt, requests, endings, held}, effects}
@@ -62,12 +61,11 @@
   draft.effects.push({type: "send", to, message})
 }
 
-/** Queues a numbered event. */
+/** Queues a log event. */
 export function note(draft: EntryDraft, event: EntryNote, fields: EntryNoteFields): void {
   draft.effects.push({type: "note", event, fields})
 }
 
-/** Changes fields of a request. */
 export function updateRequest(
   draft: EntryDraft,
   id: string,
@@ -80,7 +78,7 @@
   return next
 }
 
-/** The linked keeper that says it owns a share, with the highest fence; older ones are stale. */
+/** Returns the linked keeper that owns a share. Lower fences than the highest seen are stale. */
 export function findOwner(draft: EntryDraft, share: string): string | undefined {
   const highest = draft.fences.get(share) ?? 0
   for (const [keeper, link] of draft.links) {
@@ -90,7 +88,7 @@
   return undefined
 }
 
-/** Remembers that an owner of the keeper's shares was heard. */
+/** Records the time of a message from the keeper, for the link and for the shares it owns. */
 export function hear(draft: EntryDraft, keeper: string): void {
   const link = draft.links.get(keeper)
   if (!link) return
@@ -100,12 +98,12 @@
   }
 }
 
-/** Whether a fence is the highest seen of a cell. */
+/** Whether no higher fence of the cell has been seen. */
 export function isCurrent(draft: EntryDraft, cell: string, fence: number): boolean {
   return fence >= (draft.fences.get(cellShare(cell)) ?? 0)
 }
 
-/** Requests in progress for which `test` holds. */
+/** Counts the requests in progress that satisfy `test`. */
 export function countRequests(
   draft: EntryDraft,
   test: (request: EntryRequest) => boolean
@@ -115,7 +113,7 @@
   return count
 }
 
-/** Full jitter over an interval that grows exponentially with the tries, milliseconds. */
+/** Returns a back-off that doubles with each try, with a random factor of 0.5 to 1.5. */
 export function drawBackoff(draft: EntryDraft, tries: number): number {
   const [value, random] = uniformFloat64(draft.state.random)
   draft.state = {...draft.state, random}
--- a/src/core/entry-register.ts
+++ b/src/core/entry-register.ts
@@ -1,24 +1,27 @@
-/** An entry's dealings with the register: requests that must run at most once. */
+/** Records idempotency keys in the register, for requests that must run at most once. */
 import type {Settle} from "../types/messages.js"
 import {type EntryDraft, findOwner, send, updateRequest} from "./entry-draft.js"
 import type {EntryRequest} from "./entry-state.js"
 import {cellShare, registerShare} from "./keeper-state.js"
 
-/** Ends kept for a register without an owner; past that the oldest key stays as it is. */
-const MAX_UNSETTLED = 10_000
+/**
+ * Outcomes kept for register shards without an owner. Beyond this limit the oldest are dropped,
+ * and the register keeps the state it has for their keys.
+ */
+const MAX_UNSENT_SETTLES = 10_000
 
-/** Has the key of a request recorded; it goes on when that is durable. */
+/** Asks the register to record the key; the request continues when the record is durable. */
 export function reserveKey(draft: EntryDraft, request: EntryRequest): void {
   const {request: id, key, body} = request
   if (key === undefined) return
-  const shard = shardOf(draft, key)
+  const shard = registerShardOf(draft, key)
   const owner = findOwner(draft, shard)
   if (owner === undefined || owner === request.askedOf) return
   updateRequest(draft, id, {askedOf: owner})
   send(draft, owner, {t: "reserve", shard, key, attempt: id, body})
 }
 
-/** Tells the register how an attempt ended. */
+/** Sends the outcome of a request to the register. */
 export function settleKey(
   draft: EntryDraft,
   request: EntryRequest,
@@ -26,33 +29,33 @@
 ): void {
   const {key, request: attempt} = request
   if (key === undefined) return
-  const shard = shardOf(draft, key)
-  tellSettled(draft, {t: "settle", shard, key, attempt, state})
+  const shard = registerShardOf(draft, key)
+  sendSettle(draft, {t: "settle", shard, key, attempt, state})
 }
 
-/** Tells the ends that could not be told before, where there is an owner now. */
+/** Sends the outcomes that could not be sent before to shards that have an owner now. */
 export function settleAgain(draft: EntryDraft): void {
   const {unsettled} = draft.state
   if (unsettled.length === 0) return
   draft.state = {...draft.state, unsettled: []}
-  for (const settle of unsettled) tellSettled(draft, settle)
+  for (const settle of unsettled) sendSettle(draft, settle)
 }
 
-function tellSettled(draft: EntryDraft, settle: Settle): void {
+function sendSettle(draft: EntryDraft, settle: Settle): void {
   const owner = findOwner(draft, settle.shard)
   if (owner !== undefined) return send(draft, owner, settle)
-  const unsettled = [...draft.state.unsettled, settle].slice(-MAX_UNSETTLED)
+  const unsettled = [...draft.state.unsettled, settle].slice(-MAX_UNSENT_SETTLES)
   draft.state = {...draft.state, unsettled}
 }
 
-/** The share whose owner a request waits for. */
+/** Returns the share whose owner a request waits for. */
 export function shareOf(draft: EntryDraft, request: EntryRequest): string {
   const {phase, key, cell} = request
   return phase === "reserving" && key !== undefined
-    ? shardOf(draft, key)
+    ? registerShardOf(draft, key)
     : cellShare(cell)
 }
 
-function shardOf(draft: EntryDraft, key: string): string {
+function registerShardOf(draft: EntryDraft, key: string): string {
   return registerShare(parseInt(key.slice(0, 8), 16) % draft.options.registerShards)
 }
--- a/src/core/entry-requests.ts
+++ b/src/core/entry-requests.ts
@@ -1,4 +1,4 @@
-/** The way of a request through an entry: admitted, recorded, asked for, sent. */
+/** The stages of a request in an entry: admission, key recording, grant, dispatch. */
 import type {ErrorCode} from "../errors.js"
 import type {ModelEngine, PlainService} from "../types/config.js"
 import {rankMembers} from "../utils/rendezvous.js"
@@ -15,20 +15,19 @@
 import {reserveKey, settleKey} from "./entry-register.js"
 import {cellShare} from "./keeper-state.js"
 
-/** When to come back after a refusal that has no better estimate. */
+/** Sent to callers when there is no better estimate. */
 export const RETRY_AFTER_MS = 1_000
-/** What each new request adds to the retry budget. */
 const RETRY_TOKENS_PER_REQUEST = 0.1
 const MAX_RETRY_TOKENS = 50
-/** The part of an engine's batch that one entry may fill without an owner's word. */
-const OWNERLESS_SHARE = 0.5
+/** Limits the part of an engine's batch that one entry fills while the cell has no owner. */
+const OWNERLESS_BATCH_FRACTION = 0.5
 
-/** Admits a request within the limits, or answers it at once. */
+/** Admits a request that is within the limits; answers any other with an error at once. */
 export function admitRequest(draft: EntryDraft, arrival: Arrival): void {
   const refusal = checkLimits(draft, arrival)
   if (refusal) return answerArrival(draft, arrival, refusal, RETRY_AFTER_MS)
   const cell = findCell(draft, arrival)
-  if (cell === undefined) return refuseTarget(draft, arrival)
+  if (cell === undefined) return answerUnknownTarget(draft, arrival)
   const patience = arrival.patienceMs ?? draft.options.patienceMs[arrival.class]
   draft.requests.set(arrival.request, {
     ...arrival,
@@ -57,14 +56,17 @@
   if (draft.requests.size >= draft.options.maxInProgress) return "box-limit"
   const limit =
     findRecord(draft.state.config, "organisation", organisation)?.value.maxInProgress ?? 0
-  const ofOrganisation = countRequests(
+  const inProgress = countRequests(
     draft,
     request => request.organisation === organisation
   )
-  return ofOrganisation >= limit ? "organisation-limit" : undefined
+  return inProgress >= limit ? "organisation-limit" : undefined
 }
 
-/** The cell whose engines serve a model: the same on every entry. Empty for plain services. */
+/**
+ * Returns the cell whose engines serve a model; every entry picks the same one. Empty for a
+ * plain service. Undefined if the target is not configured.
+ */
 function findCell(draft: EntryDraft, {target}: Arrival): string | undefined {
   if (target.kind === "service") {
     return membersOfService(draft.state.config, target.service).size > 0 ? "" : undefined
@@ -74,32 +76,38 @@
   return rankMembers(target.model, cellsOfBase(draft.state.config, base))[0]
 }
 
-/** A service nobody configured is not there; a model's engines may come back. */
-function refuseTarget(draft: EntryDraft, arrival: Arrival): void {
+/**
+ * Answers "not found" for a service that is not configured. The engines of a model can come back,
+ * so its callers are asked to retry.
+ */
+function answerUnknownTarget(draft: EntryDraft, arrival: Arrival): void {
   if (arrival.target.kind === "service") {
     return answerArrival(draft, arrival, "not-found", undefined)
   }
   answerArrival(draft, arrival, "no-capacity", RETRY_AFTER_MS)
 }
 
-/** Takes a request as far as it can go now. */
+/** Moves a waiting request to its next stage if that is possible now. */
 export function advanceRequest(draft: EntryDraft, id: string): void {
   const request = draft.requests.get(id)
   if (!request || request.phase === "running") return
-  if (request.giveUpAt <= draft.now) return giveUp(draft, request)
+  if (request.giveUpAt <= draft.now) return expireRequest(draft, request)
   if (request.phase === "reserving") return reserveKey(draft, request)
   if (request.retryAt > draft.now) return
   if (request.target.kind === "service") return sendToMember(draft, request)
   askOwner(draft, request)
 }
 
-/** Answers a request that nobody could take in time; it did not run. */
-function giveUp(draft: EntryDraft, request: EntryRequest): void {
+/** Answers a request that could not be dispatched within its time limit. */
+function expireRequest(draft: EntryDraft, request: EntryRequest): void {
   const code = request.phase === "reserving" ? "no-record" : "no-capacity"
   refuseRequest(draft, request, code, RETRY_AFTER_MS)
 }
 
-/** Ends a request whose present attempt did not run; an earlier one may have. */
+/**
+ * Ends a request whose current attempt did not run. An earlier attempt may have run; the answer
+ * says so.
+ */
 export function refuseRequest(
   draft: EntryDraft,
   request: EntryRequest,
@@ -115,7 +123,7 @@
   })
 }
 
-/** Forgets a request that certainly did not run, here and where it was asked for. */
+/** Removes a request whose current attempt did not run, here and at the keeper that was asked. */
 export function dropRequest(draft: EntryDraft, request: EntryRequest): void {
   draft.requests.delete(request.request)
   if (request.phase === "asking" && request.askedOf !== "") {
@@ -139,7 +147,8 @@
 function askOwner(draft: EntryDraft, request: EntryRequest): void {
   if (request.target.kind !== "model") return
   const owner = findOwner(draft, cellShare(request.cell))
-  if (owner === undefined) return serveOwnerless(draft, request, request.target.model)
+  if (owner === undefined)
+    return dispatchWithoutOwner(draft, request, request.target.model)
   if (owner === request.askedOf) return
   updateRequest(draft, request.request, {askedOf: owner})
   send(draft, owner, {
@@ -155,35 +164,44 @@
 }
 
 /**
- * Without an owner nothing is evicted, except by a later owner that first hears this entry or
- * waits until it has stopped. Until then a pair that was granted once may still be used.
+ * Dispatches under an earlier grant while the cell has no owner. This is safe because only a later
+ * owner can evict the adapter, and it first gets this entry's inventory or waits until this
+ * entry has stopped.
  */
-function serveOwnerless(draft: EntryDraft, request: EntryRequest, model: string): void {
+function dispatchWithoutOwner(
+  draft: EntryDraft,
+  request: EntryRequest,
+  model: string
+): void {
   const usable = [...draft.held.values()].filter(
-    held => held.cell === request.cell && held.model === model && mayUseAlone(draft, held)
+    held =>
+      held.cell === request.cell &&
+      held.model === model &&
+      canUseWithoutOwner(draft, held)
   )
-  usable.sort((a, b) => runningOn(draft, a.engine) - runningOn(draft, b.engine))
+  usable.sort((a, b) => countRunningOn(draft, a.engine) - countRunningOn(draft, b.engine))
   const held = usable[0]
   if (!held) return
   note(draft, "ownerless", {cell: request.cell, engine: held.engine, model})
   dispatchToEngine(draft, request, held, {stallMs: 0, fillPercent: undefined})
 }
 
-function mayUseAlone(draft: EntryDraft, {cell, engine}: Held): boolean {
+function canUseWithoutOwner(draft: EntryDraft, {cell, engine}: Held): boolean {
   const server = findEngine(draft, engine)
   if (!server || draft.state.leaving.has(engine)) return false
-  if (runningOn(draft, engine) >= server.maxBatch * OWNERLESS_SHARE) return false
+  if (countRunningOn(draft, engine) >= server.maxBatch * OWNERLESS_BATCH_FRACTION)
+    return false
   if (server.checksFences) return true
   const heardAt = draft.heardAt.get(cellShare(cell)) ?? -Infinity
   return draft.now - heardAt < draft.options.timing.ownerlessMs
 }
 
-/** Sends a request to an engine under a grant. */
+/** Dispatches a request to an engine under a grant. */
 export function dispatchToEngine(
   draft: EntryDraft,
   request: EntryRequest,
   held: Held,
-  measures: {readonly stallMs: number; readonly fillPercent: number | undefined}
+  grantInfo: {readonly stallMs: number; readonly fillPercent: number | undefined}
 ): void {
   const server = findEngine(draft, held.engine)
   if (!server) return
@@ -197,24 +215,24 @@
     address: server.address,
     fence: held.fence,
     grant: held.grant,
-    stallMs: measures.stallMs,
-    fillPercent: measures.fillPercent,
+    stallMs: grantInfo.stallMs,
+    fillPercent: grantInfo.fillPercent,
     waitedMs: draft.now - request.arrivedAt
   })
 }
 
-/** The key of a held pair. */
+/** Returns the key of a grant: engine and model. */
 export function heldKey({engine, model}: {engine: string; model: string}): string {
   return `${engine}|${model}`
 }
 
-/** A model engine of the configuration. */
+/** Finds a model engine in the configuration. */
 export function findEngine(draft: EntryDraft, id: string): ModelEngine | undefined {
   const server = findRecord(draft.state.config, "backend", id)?.value
   return server?.kind === "model-engine" ? server : undefined
 }
 
-function runningOn(draft: EntryDraft, backend: string): number {
+function countRunningOn(draft: EntryDraft, backend: string): number {
   return countRequests(
     draft,
     request => request.phase === "running" && request.backend === backend
@@ -237,13 +255,13 @@
 function sendToMember(draft: EntryDraft, request: EntryRequest): void {
   if (request.target.kind !== "service") return
   const members = membersOfService(draft.state.config, request.target.service)
-  const usable = [...members].filter(([id, member]) => canTake(draft, id, member))
+  const usable = [...members].filter(([id, member]) => hasCapacity(draft, id, member))
   usable.sort(
-    ([a, left], [b, right]) => memberLoad(draft, a, left) - memberLoad(draft, b, right)
+    ([a, left], [b, right]) => scoreMember(draft, a, left) - scoreMember(draft, b, right)
   )
-  const chosen = usable[0]
-  if (!chosen) return
-  const [id, {address}] = chosen
+  const best = usable[0]
+  if (!best) return
+  const [id, {address}] = best
   startRunning(draft, request, id)
   draft.effects.push({
     type: "dispatch",
@@ -259,13 +277,16 @@
   })
 }
 
-function canTake(draft: EntryDraft, id: string, member: PlainService): boolean {
-  return !draft.state.leaving.has(id) && runningOn(draft, id) < member.maxInProgress
+function hasCapacity(draft: EntryDraft, id: string, member: PlainService): boolean {
+  return !draft.state.leaving.has(id) && countRunningOn(draft, id) < member.maxInProgress
 }
 
-/** Sound ones first, then the own data centre, then the fewest requests in progress. */
-function memberLoad(draft: EntryDraft, id: string, member: PlainService): number {
-  const far = member.dataCentre === draft.options.dataCentre ? 0 : 1
-  const unsound = (draft.state.avoided.get(id) ?? 0) > draft.now ? 2 : 0
-  return unsound + far + runningOn(draft, id) / member.maxInProgress
+/**
+ * Scores a member, lower is better: members that did not fail recently first, then those in the
+ * same data centre, then by the fraction of their request limit in use.
+ */
+function scoreMember(draft: EntryDraft, id: string, member: PlainService): number {
+  const remote = member.dataCentre === draft.options.dataCentre ? 0 : 1
+  const avoided = (draft.state.avoided.get(id) ?? 0) > draft.now ? 2 : 0
+  return avoided + remote + countRunningOn(draft, id) / member.maxInProgress
 }
--- a/src/core/entry-results.ts
+++ b/src/core/entry-results.ts
@@ -1,4 +1,4 @@
-/** What follows when an attempt ends: the answer, a retry, and the pin's release. */
+/** Handles the end of an attempt: the answer or a retry, and the release of its pin. */
 import {withEntry} from "../utils/collections.js"
 import type {EntryDraft} from "./entry-draft.js"
 import {drawBackoff, findOwner, note, send, updateRequest} from "./entry-draft.js"
@@ -11,10 +11,9 @@
 import type {ErrorCode} from "../errors.js"
 
 const MAX_ATTEMPTS = 5
-/** Between tries of a cancel that was not confirmed. */
 const CANCEL_RETRY_MS = 500
 
-/** For how long a backend server that refused or was lost goes last. */
+/** How long other backend servers are preferred to one that refused or was lost. */
 const AVOID_MS = 1_000
 
 const NOT_RUN: ReadonlySet<BackendResult> = new Set([
@@ -23,7 +22,7 @@
   "stale-grant",
   "not-sent"
 ])
-const AVOIDED: ReadonlySet<BackendResult> = new Set([
+const AVOIDED_AFTER: ReadonlySet<BackendResult> = new Set([
   "refused",
   "not-sent",
   "lost",
@@ -31,63 +30,64 @@
   "timeout"
 ])
 
-const UNKNOWN_CODES: Readonly<Partial<Record<BackendResult, ErrorCode>>> = {
+const CODES_OF_UNKNOWN_OUTCOME: Readonly<Partial<Record<BackendResult, ErrorCode>>> = {
   timeout: "deadline-passed",
   "wrong-model": "wrong-model"
 }
 
-type AttemptEnd = Omit<Extract<EntryEvent, {type: "backend-result"}>, "type">
+type AttemptResult = Omit<Extract<EntryEvent, {type: "backend-result"}>, "type">
 
-/** Takes the end of a request's present attempt. */
+/** Handles the result of a request's current attempt. */
 export function takeBackendResult(
   draft: EntryDraft,
-  {request: id, result, replied, progressed = false}: AttemptEnd
+  {request: id, result, replied, progressed = false}: AttemptResult
 ): void {
   const request = draft.requests.get(id)
   if (!request || request.phase !== "running") return
   if (result === "lost" && resumeLater(draft, request, replied, progressed)) return
   endAttempt(draft, request, result)
-  if (AVOIDED.has(result)) avoid(draft, request.backend)
+  if (AVOIDED_AFTER.has(result)) avoidBackend(draft, request.backend)
   if (result === "ok" || result === "answered-error") {
     draft.requests.delete(id)
     settleKey(draft, request, "answered")
     return
   }
-  if (NOT_RUN.has(result)) return retryOr(draft, request, "backend-refused", "not-run")
-  if (result === "abandoned") return endUnknown(draft, request)
-  const code = UNKNOWN_CODES[result] ?? "backend-lost"
-  if (replied) return breakOff(draft, request, code)
+  if (NOT_RUN.has(result))
+    return retryOrFail(draft, request, "backend-refused", "not-run")
+  if (result === "abandoned") return endAsUnknown(draft, request)
+  const code = CODES_OF_UNKNOWN_OUTCOME[result] ?? "backend-lost"
+  if (replied) return breakOffAnswer(draft, request, code)
   if (request.repeatable && (result === "lost" || result === "gone"))
-    return retryOr(draft, request, code, "unknown")
-  endWith(draft, request, code)
+    return retryOrFail(draft, request, code, "unknown")
+  failRequest(draft, request, code)
 }
 
-function avoid(draft: EntryDraft, backend: string): void {
+function avoidBackend(draft: EntryDraft, backend: string): void {
   const avoided = withEntry(draft.state.avoided, backend, draft.now + AVOID_MS)
   draft.state = {...draft.state, avoided}
 }
 
-function endUnknown(draft: EntryDraft, request: EntryRequest): void {
+function endAsUnknown(draft: EntryDraft, request: EntryRequest): void {
   draft.requests.delete(request.request)
   settleKey(draft, request, "unknown")
 }
 
-function breakOff(draft: EntryDraft, request: EntryRequest, code: ErrorCode): void {
-  endUnknown(draft, request)
+function breakOffAnswer(draft: EntryDraft, request: EntryRequest, code: ErrorCode): void {
+  endAsUnknown(draft, request)
   draft.effects.push({type: "break-off", request: request.request, code})
 }
 
-function endWith(draft: EntryDraft, request: EntryRequest, code: ErrorCode): void {
-  endUnknown(draft, request)
+function failRequest(draft: EntryDraft, request: EntryRequest, code: ErrorCode): void {
+  endAsUnknown(draft, request)
   draft.effects.push({type: "answer", request: request.request, code})
 }
 
-/** Tries again within the budget and the caller's patience; otherwise the answer goes out. */
-function retryOr(
+/** Schedules a retry within the retry budget and the time limit; otherwise answers. */
+function retryOrFail(
   draft: EntryDraft,
   request: EntryRequest,
   code: ErrorCode,
-  certainty: "not-run" | "unknown"
+  outcome: "not-run" | "unknown"
 ): void {
   const attempts = request.attempts + 1
   const budget = draft.state.retryTokens
@@ -100,13 +100,13 @@
       attempts,
       attempt: `${request.request}.${attempts}`,
       retryAt,
-      mayHaveRun: request.mayHaveRun || certainty === "unknown",
+      mayHaveRun: request.mayHaveRun || outcome === "unknown",
       backend: "",
       askedOf: ""
     })
     return
   }
-  if (certainty === "unknown") return endWith(draft, request, code)
+  if (outcome === "unknown") return failRequest(draft, request, code)
   refuseRequest(draft, {...request, phase: "asking", askedOf: ""}, code, RETRY_AFTER_MS)
 }
 
@@ -118,7 +118,7 @@
   result: BackendResult
 ): void {
   if (request.target.kind !== "model") return
-  const ending: Ending = {
+  const ended: Ending = {
     attempt: request.attempt,
     cell: request.cell,
     engine: request.backend,
@@ -126,9 +126,9 @@
     retryAt: draft.now
   }
   if (result === "ok" || result === "answered-error" || NOT_RUN.has(result)) {
-    return reportDone(draft, ending, doneResult(result))
+    return reportDone(draft, ended, doneResult(result))
   }
-  draft.endings.set(ending.attempt, ending)
+  draft.endings.set(ended.attempt, ended)
   cancelEndings(draft)
 }
 
@@ -137,40 +137,40 @@
   return NOT_RUN.has(result) ? "failed" : "ok"
 }
 
-function reportDone(draft: EntryDraft, ending: Ending, result: Done["result"]): void {
-  const owner = findOwner(draft, cellShare(ending.cell))
+function reportDone(draft: EntryDraft, ended: Ending, result: Done["result"]): void {
+  const owner = findOwner(draft, cellShare(ended.cell))
   if (owner === undefined) return
-  const {cell, attempt, engine} = ending
+  const {cell, attempt, engine} = ended
   send(draft, owner, {t: "done", cell, request: attempt, engine, result})
 }
 
-/** Asks engines to cancel what may still be at work there. */
+/** Sends the cancels that are due. */
 export function cancelEndings(draft: EntryDraft): void {
-  for (const [attempt, ending] of draft.endings) {
-    if (ending.retryAt === undefined || ending.retryAt > draft.now) continue
-    const server = findEngine(draft, ending.engine)
+  for (const [attempt, ended] of draft.endings) {
+    if (ended.retryAt === undefined || ended.retryAt > draft.now) continue
+    const server = findEngine(draft, ended.engine)
     if (!server) {
-      finishEnding(draft, ending)
+      finishCancel(draft, ended)
       continue
     }
-    draft.endings.set(attempt, {...ending, retryAt: undefined})
+    draft.endings.set(attempt, {...ended, retryAt: undefined})
     draft.effects.push({type: "cancel", attempt, address: server.address})
   }
 }
 
-/** Takes the engine's word on a cancel. */
+/** Handles the result of a cancel. */
 export function takeCancelled(
   draft: EntryDraft,
   attempt: string,
   confirmed: boolean
 ): void {
-  const ending = draft.endings.get(attempt)
-  if (!ending) return
-  if (confirmed) return finishEnding(draft, ending)
-  draft.endings.set(attempt, {...ending, retryAt: draft.now + CANCEL_RETRY_MS})
+  const ended = draft.endings.get(attempt)
+  if (!ended) return
+  if (confirmed) return finishCancel(draft, ended)
+  draft.endings.set(attempt, {...ended, retryAt: draft.now + CANCEL_RETRY_MS})
 }
 
-function finishEnding(draft: EntryDraft, ending: Ending): void {
-  draft.endings.delete(ending.attempt)
-  reportDone(draft, ending, "failed")
+function finishCancel(draft: EntryDraft, ended: Ending): void {
+  draft.endings.delete(ended.attempt)
+  reportDone(draft, ended, "failed")
 }
--- a/src/core/entry-resume.ts
+++ b/src/core/entry-resume.ts
@@ -1,15 +1,15 @@
 /**
- * Streams that broke and whose engine can go on with them. A resume runs nothing a second time, so
- * requests that may not be repeated are resumed like any other; the pin stays all the while.
+ * Resumes broken streams at the same engine. A resume runs nothing a second time, so it is also
+ * safe for requests that must not be retried. The pin stays until the stream ends.
  */
 import {drawBackoff, type EntryDraft, note, updateRequest} from "./entry-draft.js"
 import {findEngine} from "./entry-requests.js"
 import type {EntryRequest} from "./entry-state.js"
 
-/** Tries in a row that bring nothing before a broken stream counts as lost. */
-const MAX_RESUMES = 4
+/** After this many resumes in a row without an event a broken stream counts as lost. */
+const MAX_FRUITLESS_RESUMES = 4
 
-/** Plans a resume of a broken stream; false when it cannot be resumed. */
+/** Schedules a resume of a broken stream. Returns false if it cannot be resumed. */
 export function resumeLater(
   draft: EntryDraft,
   request: EntryRequest,
@@ -18,17 +18,17 @@
 ): boolean {
   const server = findEngine(draft, request.backend)
   if (!request.streamed || server?.resumesStreams !== true) return false
-  const tried = progressed ? 0 : request.resumes
-  if (tried >= MAX_RESUMES) return false
+  const fruitless = progressed ? 0 : request.resumes
+  if (fruitless >= MAX_FRUITLESS_RESUMES) return false
   if (draft.now - request.startedAt >= draft.options.timing.requestMaxMs) return false
-  const resumes = tried + 1
+  const resumes = fruitless + 1
   const resumeAt = draft.now + (resumes === 1 ? 0 : drawBackoff(draft, resumes))
   updateRequest(draft, request.request, {resumes, resumeAt, replied})
   resumeDue(draft, request.request)
   return true
 }
 
-/** Resumes a stream whose time has come. */
+/** Resumes a broken stream if its resume is due. */
 export function resumeDue(draft: EntryDraft, id: string): void {
   const request = draft.requests.get(id)
   if (request?.resumeAt === undefined || request.resumeAt > draft.now) return
--- a/src/core/entry-state.ts
+++ b/src/core/entry-state.ts
@@ -1,4 +1,4 @@
-/** The state, events and effects of an entry: what callers reach. */
+/** The state, events and effects of an entry: the process that callers connect to. */
 import type {Configuration, RequestClass} from "../types/config.js"
 import type {EntryMessage, KeeperMessage, Settle} from "../types/messages.js"
 import type {ErrorCode} from "../errors.js"
@@ -11,39 +11,40 @@
   readonly dataCentre: string
   readonly timing: Timing
   readonly registerShards: number
-  /** Requests in progress on the box. */
+  /** Limit of requests in progress on the box. */
   readonly maxInProgress: number
-  /** How long a request of each class waits for an engine, milliseconds. */
+  /** Longest wait for an engine, by request class. */
   readonly patienceMs: Readonly<Record<RequestClass, number>>
 }
 
-/** What a request is for. */
+/** What a request is addressed to. */
 export type Target =
   | {readonly kind: "model"; readonly model: string}
   | {readonly kind: "service"; readonly service: string}
 
-/** A checked request of a caller. */
+/** A validated request of a caller. */
 export interface Arrival {
   readonly request: string
   readonly organisation: string
   readonly class: RequestClass
   readonly target: Target
-  /** Names the start of the prompt, never alike for two organisations. */
+  /** Identifies the start of the prompt; two organisations never have the same one. */
   readonly prefix?: string
-  /** The answer is a stream: it may be resumed where the engine can. */
+  /** The answer is a stream, which can be resumed if the engine supports it. */
   readonly streamed: boolean
-  /** A request that may not be repeated runs at most once. */
+  /** False if the request must run at most once. */
   readonly repeatable: boolean
-  /** Digest of organisation and idempotency key, when the caller gave one. */
+  /** Digest of organisation and idempotency key. Undefined if the caller sent no key. */
   readonly key?: string
+  /** Digest of the body, to detect an idempotency key that is reused with another body. */
   readonly body: string
-  /** The caller's own limit on the wait, milliseconds. */
+  /** The limit that the caller set on the wait. Undefined means that of the class. */
   readonly patienceMs?: number
 }
 
 /**
- * `reserving`: its key is being recorded. `asking`: waits for a grant or a free member.
- * `running`: sent to a backend server.
+ * `reserving`: the register is recording its idempotency key. `asking`: waits for a grant or for a
+ * free member of the service. `running`: sent to a backend server.
  */
 export type RequestPhase = "reserving" | "asking" | "running"
 
@@ -53,41 +54,41 @@
   readonly giveUpAt: number
   /** The cell of a model; empty for a plain service. */
   readonly cell: string
-  /** The keeper that was asked, and has not answered yet. */
+  /** The keeper whose answer the request waits for; empty if none was asked. */
   readonly askedOf: string
   readonly backend: string
   readonly attempts: number
-  /** The name of the present attempt towards keepers and backend servers. */
+  /** Name of the current attempt in messages to keepers and backend servers. */
   readonly attempt: string
-  /** Not before this time, after a refusal. */
+  /** Earliest time of the next attempt, after back-off. */
   readonly retryAt: number
-  /** The key is recorded: its end must be told to the register. */
+  /** Whether the register has recorded the key and must be sent the outcome. */
   readonly reserved: boolean
   readonly startedAt: number
-  /** An earlier attempt was lost: whatever comes of later ones, it is not "not run". */
+  /** An earlier attempt was lost, so the request must never be reported as "not run". */
   readonly mayHaveRun: boolean
-  /** Any byte of an answer had gone to the caller when its stream last broke. */
+  /** Whether the caller had received any byte of an answer when the stream last broke. */
   readonly replied: boolean
-  /** Resumes of the present attempt's stream since it last brought events. */
+  /** Resumes of the current attempt's stream since it last delivered events. */
   readonly resumes: number
-  /** When a broken stream is resumed; undefined while its connection is in use. */
+  /** When a broken stream is to be resumed. Undefined while its connection is open. */
   readonly resumeAt: number | undefined
 }
 
 /**
- * An attempt whose connection ended without a whole answer. The engine may still be at work, so
- * the pin stays until it confirmed the cancel.
+ * An attempt whose connection ended before the answer was complete. The engine may still be
+ * running it, so the pin stays until the engine confirms the cancel.
  */
 export interface Ending {
   readonly attempt: string
   readonly cell: string
   readonly engine: string
   readonly model: string
-  /** When the cancel is tried again; undefined while it is under way. */
+  /** When the cancel is sent next. Undefined while an answer to it is pending. */
   readonly retryAt: number | undefined
 }
 
-/** An engine and adapter that the owner granted and that was not given back. */
+/** The latest grant of an adapter on an engine that this entry has not released. */
 export interface Held {
   readonly cell: string
   readonly engine: string
@@ -99,7 +100,7 @@
 
 export interface KeeperLink {
   readonly lastHeard: number
-  /** Shares the keeper says it owns, each with its fence. */
+  /** Shares that the keeper reports as its own, each with its fence (fencing token). */
   readonly owned: ReadonlyMap<string, number>
 }
 
@@ -107,19 +108,20 @@
   readonly config: Configuration
   readonly links: ReadonlyMap<string, KeeperLink>
   readonly shares: ReadonlyMap<string, ShareRecord>
-  /** The highest fence seen of each share: no grant with a lower one is used. */
+  /** The highest fence seen of each share. A grant with a lower fence is not used. */
   readonly fences: ReadonlyMap<string, number>
-  /** When an owner of the cell was last heard. */
+  /** When a message of the current owner last arrived, by share. */
   readonly heardAt: ReadonlyMap<string, number>
   readonly requests: ReadonlyMap<string, EntryRequest>
   readonly endings: ReadonlyMap<string, Ending>
   readonly held: ReadonlyMap<string, Held>
+  /** Backend servers that are leaving, according to the box list. */
   readonly leaving: ReadonlySet<string>
-  /** Ends of recorded requests whose register shard had no owner to be told. */
+  /** Outcomes of recorded requests, kept while their register shard has no owner. */
   readonly unsettled: readonly Settle[]
-  /** Backend servers that refused or were lost, until when others go first. */
+  /** Until when other backend servers are preferred to one that refused or was lost. */
   readonly avoided: ReadonlyMap<string, number>
-  /** Retries that may still be made: a tenth of a token for each new request. */
+  /** Remaining retry budget; each new request adds a tenth of a token. */
   readonly retryTokens: number
   readonly random: RandomGenerator
   readonly lastEventAt: number
@@ -128,25 +130,25 @@
 
 /** How a request ended at a backend server. */
 export type BackendResult =
-  /** The whole answer went to the caller. */
+  /** The caller received the complete answer. */
   | "ok"
-  /** The backend server answered with an error of its own, which the caller got. */
+  /** The backend server answered with an error of its own, which went to the caller. */
   | "answered-error"
-  /** The engine does not have the adapter: it did not run. */
+  /** The engine does not have the adapter, so the request did not run. */
   | "not-loaded"
-  /** The backend server takes no new work, or not under this grant: it did not run. */
+  /** The backend server accepts no new work or not this grant, so it did not run. */
   | "refused"
-  /** The engine has been told to take nothing under this grant: it did not run. */
+  /** The engine was ordered to reject this grant, so the request did not run. */
   | "stale-grant"
-  /** No byte reached the backend server: it did not run. */
+  /** No byte reached the backend server, so the request did not run. */
   | "not-sent"
   /** The connection failed after bytes were sent. */
   | "lost"
-  /** As `lost`, and the stream cannot be resumed: the engine has none, or it carried no ids. */
+  /** As `lost`; the stream cannot be resumed, as the engine lacks it or sent no event ids. */
   | "gone"
   | "timeout"
   | "wrong-model"
-  /** The caller hung up. */
+  /** The caller disconnected. */
   | "abandoned"
 
 export type EntryEvent =
@@ -162,15 +164,15 @@
       readonly type: "backend-result"
       readonly request: string
       readonly result: BackendResult
-      /** Whether any byte of an answer went to the caller. */
+      /** Whether the caller received any byte of an answer. */
       readonly replied: boolean
-      /** A stream brought events, or was silent, before its connection ended. */
+      /** The stream delivered events, or was idle until the timeout, before the connection ended. */
       readonly progressed?: boolean
     }
   | {
       readonly type: "cancelled"
       readonly attempt: string
-      /** The engine confirmed that it does not run the attempt, or is known to have ended. */
+      /** The engine confirmed that it does not run the attempt, or the engine has ended. */
       readonly confirmed: boolean
     }
   | {readonly type: "box-list"; readonly leaving: ReadonlySet<string>}
@@ -187,18 +189,18 @@
       readonly fence: number
       readonly grant: number
       readonly stallMs: number
-      /** How full the engine's batch is; unknown without an owner. */
+      /** How full the engine's batch is. Undefined if the cell has no owner. */
       readonly fillPercent: number | undefined
       readonly waitedMs: number
     }
-  /** Take the stream up again after the last event that went to the caller. */
+  /** Resumes the stream after the last event that went to the caller. */
   | {
       readonly type: "resume"
       readonly request: string
       readonly attempt: string
       readonly address: string
     }
-  /** End an answer that has begun with an explicit error. */
+  /** Ends a partly sent answer with an explicit error. */
   | {readonly type: "break-off"; readonly request: string; readonly code: ErrorCode}
   | {readonly type: "cancel"; readonly attempt: string; readonly address: string}
   | {readonly type: "abort"; readonly request: string; readonly timedOut: boolean}
@@ -208,7 +210,7 @@
       readonly code: ErrorCode
       readonly retryAfterMs?: number
     }
-  /** The loop stood still: links may have been given up by their other ends. */
+  /** Reopens all links after a pause, as the peers may have closed them meanwhile. */
   | {readonly type: "reset-links"}
   | {readonly type: "note"; readonly event: EntryNote; readonly fields: EntryNoteFields}
   | {readonly type: "stopped"}
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -1,4 +1,4 @@
-/** The transitions of an entry: `(state, event, now) -> (state, effects)`. */
+/** The state machine of an entry: `(state, event, now) -> (state, effects)`. */
 import {createRandom} from "../utils/random.js"
 import {emptyConfiguration} from "./configuration.js"
 import {askAgain, releaseIdle, takeKeeperMessage} from "./entry-cells.js"
@@ -42,7 +42,7 @@
   }
 }
 
-/** Every decision of an entry. */
+/** Applies one event and returns the new state with the effects to perform. */
 export function stepEntry(
   state: EntryState,
   event: EntryEvent,
@@ -50,16 +50,17 @@
   options: EntryOptions
 ): EntryStep {
   const draft = openEntry(state, now, options)
-  noticePause(draft, state.lastEventAt)
-  takeEvent(draft, event)
+  detectPause(draft, state.lastEventAt)
+  handleEvent(draft, event)
   return closeEntry(draft)
 }
 
 /**
- * A loop that stood still may hold grants its owner has given up on. They came over links that
- * are dropped here, before anything that waited in a buffer is acted upon.
+ * Drops all links after a process pause that is longer than the link timeout. During the pause
+ * the owner may have declared this entry gone and revoked its grants, so messages that are
+ * still buffered on those links must not be acted on.
  */
-function noticePause(draft: EntryDraft, lastEventAt: number): void {
+function detectPause(draft: EntryDraft, lastEventAt: number): void {
   const gap = draft.now - lastEventAt
   if (lastEventAt === 0 || gap < draft.options.timing.linkSilenceMs) return
   note(draft, "paused", {gapMs: Math.round(gap)})
@@ -68,15 +69,15 @@
   draft.effects.push({type: "reset-links"})
 }
 
-function takeEvent(draft: EntryDraft, event: EntryEvent): void {
+function handleEvent(draft: EntryDraft, event: EntryEvent): void {
   switch (event.type) {
     case "tick":
-      return tick(draft)
+      return handleTick(draft)
     case "config":
       draft.state = {...draft.state, config: event.config}
       return
     case "shares":
-      return takeShares(draft, event.shares)
+      return applyShares(draft, event.shares)
     case "link-up":
       draft.links.set(event.keeper, {lastHeard: draft.now, owned: new Map()})
       return
@@ -88,7 +89,7 @@
     case "arrive":
       return admitRequest(draft, event.arrival)
     case "hang-up":
-      return hangUp(draft, event.request)
+      return handleDisconnect(draft, event.request)
     case "backend-result":
       return takeBackendResult(draft, event)
     case "cancelled":
@@ -102,7 +103,7 @@
   }
 }
 
-function tick(draft: EntryDraft): void {
+function handleTick(draft: EntryDraft): void {
   const {timing} = draft.options
   for (const [id, request] of draft.requests) {
     if (request.phase !== "running") advanceRequest(draft, id)
@@ -117,8 +118,8 @@
   }
 }
 
-/** The records of the key-value service raise the fences: a grant below them is stale. */
-function takeShares(draft: EntryDraft, shares: EntryState["shares"]): void {
+/** Raises the fences to those of the share records, so that older grants count as stale. */
+function applyShares(draft: EntryDraft, shares: EntryState["shares"]): void {
   draft.state = {...draft.state, shares}
   for (const [share, {fence}] of shares) {
     if (fence > (draft.fences.get(share) ?? 0)) draft.fences.set(share, fence)
@@ -126,14 +127,17 @@
   askAgain(draft)
 }
 
-function hangUp(draft: EntryDraft, id: string): void {
+function handleDisconnect(draft: EntryDraft, id: string): void {
   const request = draft.requests.get(id)
   if (!request) return
   if (request.phase === "running") return abortRunning(draft, request, "abandoned")
   dropRequest(draft, request)
 }
 
-/** Ends the attempt's connection, whose end then tells; between two of a stream there is none. */
+/**
+ * Closes the attempt's connection, which then reports the result. A stream that waits to be
+ * resumed has no connection, so its result is applied here.
+ */
 function abortRunning(
   draft: EntryDraft,
   {request, replied, resumeAt}: EntryRequest,
--- a/src/core/explain.ts
+++ b/src/core/explain.ts
@@ -1,22 +1,23 @@
 /**
- * Explains one request from the log lines of all boxes: what was decided, on which inputs, and what
- * the answer promised. Lines keep the order of their box; clocks of two boxes are not compared.
+ * Explains one request from the log lines of all boxes: the decisions, their inputs, and what the
+ * answer guarantees to the caller. Lines keep the order in which their box wrote them, because
+ * the clocks of boxes may differ.
  */
 
-/** One line of a log, as a box wrote it. */
+/** A line of the log of a box. */
 export interface LogLine {
   readonly box: string
-  /** Number in the catalogue. */
+  /** Number in the catalogue of log events (src/events.ts). */
   readonly event: number
-  /** The box's own time of day, milliseconds. */
+  /** Time of day by the clock of the box (ms). */
   readonly time: number
   readonly [field: string]: unknown
 }
 
-/** One step of a request, in words. */
+/** A log line with its description. */
 export interface ExplainedStep {
   readonly box: string
-  /** After the first step of the box, milliseconds by its own clock. */
+  /** Time since the first of these lines of the same box, by its clock. */
   readonly afterMs: number
   readonly event: number
   readonly text: string
@@ -25,36 +26,42 @@
 export interface Explanation {
   readonly request: string
   readonly steps: readonly ExplainedStep[]
-  /** What the leaders did with the weights that the request waited for. */
+  /** Load and unload orders for the adapters of the request. */
   readonly placement: readonly ExplainedStep[]
-  /** What its boxes believed while they served it. */
+  /** Changes in the boxes' view of the system while they served the request. */
   readonly beliefs: readonly ExplainedStep[]
   readonly verdict: string
 }
 
-/** Events by number; their texts and fields are in the catalogue. */
 const EVENT = {
-  none: 197,
+  answeredByBox: 197,
   sent: 190,
-  again: 191,
+  retry: 191,
   refused: 192,
   cut: 193,
   ended: 194,
   suspect: 195,
-  left: 196,
-  oldBegun: 212,
-  rateNamed: 234,
+  callerDisconnected: 196,
+  oldVersionStarted: 212,
+  rateAdvertised: 234,
   rateEnded: 235,
   paced: 236,
   load: 200,
   unload: 201,
-  trouble: 202
+  orderFailed: 202
 } as const
 
-const PLACEMENT: ReadonlySet<number> = new Set([EVENT.load, EVENT.unload, EVENT.trouble])
+const PLACEMENT_EVENTS: ReadonlySet<number> = new Set([
+  EVENT.load,
+  EVENT.unload,
+  EVENT.orderFailed
+])
 
-/** Lines that tell of a changed belief: store, configuration, news, links, lead, suspects. */
-const BELIEFS: ReadonlySet<number> = new Set([
+/**
+ * Events that change a box's view of the system: key-value service, configuration, store snapshots,
+ * links, leadership, suspects and rate limits.
+ */
+const STATE_EVENTS: ReadonlySet<number> = new Set([
   104,
   110,
   111,
@@ -69,18 +76,17 @@
   216,
   219,
   220,
-  EVENT.rateNamed,
+  EVENT.rateAdvertised,
   EVENT.rateEnded,
   EVENT.suspect
 ])
 
-/** Beliefs from so long before a request's first line are told, milliseconds. */
-const BELIEF_SPAN_MS = 10_000
+/** How far before the first line of a request other lines are considered. */
+const LOOKBACK_MS = 10_000
 
-/** The words for a line of a request. */
-const WORDS: ReadonlyMap<number, (line: LogLine) => string> = new Map([
+const DESCRIPTIONS: ReadonlyMap<number, (line: LogLine) => string> = new Map([
   [
-    EVENT.none,
+    EVENT.answeredByBox,
     line =>
       `answered by the box itself: ${line["reason"]}, configuration ${line["config"]}`
   ],
@@ -88,127 +94,140 @@
     EVENT.sent,
     line =>
       `attempt ${line["attempt"]} sent to ${line["backend"]} after ${line["waitedMs"]} ms` +
-      ` (adapter ${line["adapter"] || "none"}, version ${line["version"]}${replaced(line)}, places told ${line["newsMs"]} ms before)`
+      ` (adapter ${line["adapter"] || "none"}, version ${line["version"]}${describeReplacement(line)}, slots last updated ${line["newsMs"]} ms before)`
   ],
   [
     EVENT.paced,
     line =>
       `no allowance for ${line["backend"]}, which takes ${line["perSecond"]} requests a second ` +
-      `from all boxes together${waitsFor(line)}`
+      `from all boxes together${describeWait(line)}`
   ],
-  [EVENT.rateNamed, line => `${line["backend"]} takes ${line["perSecond"]} a second`],
-  [EVENT.rateEnded, line => `${line["backend"]} names no rate any more`],
-  [EVENT.again, line => `to be sent once more, since the attempt was ${line["after"]}`],
+  [
+    EVENT.rateAdvertised,
+    line => `${line["backend"]} advertises ${line["perSecond"]} requests a second`
+  ],
+  [EVENT.rateEnded, line => `${line["backend"]} no longer advertises a rate limit`],
+  [EVENT.retry, line => `to be retried, since the attempt was ${line["after"]}`],
   [
     EVENT.refused,
     line =>
       `ended as ${line["reason"]} after ${line["heldMs"]} ms and ${line["attempts"]} attempts`
   ],
-  [EVENT.cut, line => `the answer that had begun was cut: ${line["reason"]}`],
+  [EVENT.cut, line => `the partly sent answer was cut: ${line["reason"]}`],
   [
     EVENT.ended,
     line =>
-      `answered whole by ${line["backend"]}: sent after ${line["sentMs"]} ms, first byte after ` +
+      `answered completely by ${line["backend"]}: sent after ${line["sentMs"]} ms, first byte after ` +
       `${line["firstMs"]} ms, end after ${line["totalMs"]} ms`
   ],
   [
-    EVENT.oldBegun,
+    EVENT.oldVersionStarted,
     line =>
-      `the answer begins on version ${line["version"]}${replaced(line)}, ` +
+      `the answer starts with version ${line["version"]}${describeReplacement(line)}, ` +
       `${line["queuedMs"]} ms after it was sent`
   ],
-  [EVENT.left, line => `the caller left after ${line["heldMs"]} ms`],
+  [
+    EVENT.callerDisconnected,
+    line => `the caller disconnected after ${line["heldMs"]} ms`
+  ],
   [
     EVENT.load,
     line =>
-      `load ordered at ${line["engine"]} from ${line["near"] ? "a near copy" : "the weight store"}`
+      `load ordered at ${line["engine"]} from ${line["near"] ? "cached weights" : "the weight store"}`
+  ],
+  [
+    EVENT.unload,
+    line => `unload ordered at ${line["engine"]}, popularity ${line["heat"]}`
   ],
-  [EVENT.unload, line => `unload ordered at ${line["engine"]}, heat ${line["heat"]}`],
-  [EVENT.trouble, line => `${line["operation"]} at ${line["engine"]}: ${line["result"]}`],
-  [EVENT.suspect, line => `${line["backend"]} failed or was silent`]
+  [
+    EVENT.orderFailed,
+    line => `${line["operation"]} at ${line["engine"]}: ${line["result"]}`
+  ],
+  [EVENT.suspect, line => `${line["backend"]} failed or stopped responding`]
 ])
 
-/** That there is no room at once. */
-function waitsFor({fullForMs}: LogLine): string {
+/** Describes when the next request can be sent, if not at once. */
+function describeWait({fullForMs}: LogLine): string {
   return typeof fullForMs === "number" && fullForMs > 0
-    ? `: the next may come in ${fullForMs} ms`
+    ? `: the next can be sent in ${fullForMs} ms`
     : ""
 }
 
-/** That a version was replaced, and how long before at most. */
-function replaced({oldForMs}: LogLine): string {
+/** Describes how long before this line the version was replaced, if it was. */
+function describeReplacement({oldForMs}: LogLine): string {
   if (typeof oldForMs !== "number" || oldForMs === 0) return ""
-  const age = oldForMs < 0 ? "nobody knows when" : `at most ${oldForMs} ms before`
+  const age = oldForMs < 0 ? "at an unknown time" : `at most ${oldForMs} ms before`
   return `, replaced ${age}`
 }
 
-/** What each end of a request promises its caller. */
+/** What each reason for a refusal guarantees to the caller. */
 const VERDICTS: Readonly<Record<string, string>> = {
-  "not-run":
-    "refused: it has not run and never will; the caller was told when to come back",
+  "not-run": "refused: it did not run and never will; the caller was told when to retry",
   unknown: "failed: it may have run, and the caller was told so",
-  timeout: "failed: its time was over; it may have run"
+  timeout: "failed: its deadline passed; it may have run"
 }
 
-/** Explains a request; undefined: no line names it. */
+/** Explains a request. Undefined if no line has its id. */
 export function explainRequest(
   lines: readonly LogLine[],
   request: string
 ): Explanation | undefined {
-  const own = lines.filter(line => line["request"] === request)
-  if (own.length === 0) return undefined
-  const adapters = new Set(own.map(line => line["adapter"]).filter(name => name))
-  const boxes = new Set(own.map(({box}) => box))
-  const from = Math.min(...own.map(({time}) => time)) - BELIEF_SPAN_MS
-  const to = Math.max(...own.map(({time}) => time))
-  const near = lines.filter(({time}) => time >= from && time <= to)
-  const placement = near.filter(
+  const ownLines = lines.filter(line => line["request"] === request)
+  if (ownLines.length === 0) return undefined
+  const adapters = new Set(ownLines.map(line => line["adapter"]).filter(name => name))
+  const boxes = new Set(ownLines.map(({box}) => box))
+  const from = Math.min(...ownLines.map(({time}) => time)) - LOOKBACK_MS
+  const to = Math.max(...ownLines.map(({time}) => time))
+  const nearby = lines.filter(({time}) => time >= from && time <= to)
+  const placement = nearby.filter(
     ({event, adapter}) =>
-      PLACEMENT.has(event) && adapters.has(String(adapter).split("/").pop())
+      PLACEMENT_EVENTS.has(event) && adapters.has(String(adapter).split("/").pop())
+  )
+  const beliefs = nearby.filter(
+    ({box, event}) => STATE_EVENTS.has(event) && boxes.has(box)
   )
-  const beliefs = near.filter(({box, event}) => BELIEFS.has(event) && boxes.has(box))
   return {
     request,
-    steps: toSteps(own),
+    steps: toSteps(ownLines),
     placement: toSteps(placement),
     beliefs: toSteps(beliefs),
-    verdict: judge(own)
+    verdict: findVerdict(ownLines)
   }
 }
 
 function toSteps(lines: readonly LogLine[]): ExplainedStep[] {
-  const begins = new Map<string, number>()
+  const firstTimes = new Map<string, number>()
   return lines.map(line => {
     const {box, event, time} = line
-    const begin = begins.get(box) ?? time
-    begins.set(box, begin)
-    const text = WORDS.get(event)?.(line) ?? String(line["msg"] ?? "")
-    return {box, event, afterMs: time - begin, text}
+    const first = firstTimes.get(box) ?? time
+    firstTimes.set(box, first)
+    const text = DESCRIPTIONS.get(event)?.(line) ?? String(line["msg"] ?? "")
+    return {box, event, afterMs: time - first, text}
   })
 }
 
-function judge(own: readonly LogLine[]): string {
-  const last = own.filter(({event}) => ENDS.has(event)).at(-1)
+function findVerdict(ownLines: readonly LogLine[]): string {
+  const last = ownLines.filter(({event}) => END_EVENTS.has(event)).at(-1)
   if (!last)
-    return "no end is told: it is in progress, or its box died, or lines were left out"
+    return "no end is logged: it is in progress, its box crashed, or lines are missing"
   switch (last.event) {
     case EVENT.ended:
-      return "answered whole"
+      return "answered completely"
     case EVENT.cut:
-      return "cut: the caller saw a broken answer"
-    case EVENT.left:
-      return "the caller left before its answer was whole"
-    case EVENT.none:
+      return "cut: the caller received a truncated answer"
+    case EVENT.callerDisconnected:
+      return "the caller disconnected before the answer was complete"
+    case EVENT.answeredByBox:
       return "answered by the box itself; no backend server was asked"
     default:
       return VERDICTS[String(last["reason"])] ?? String(last["reason"])
   }
 }
 
-const ENDS: ReadonlySet<number> = new Set([
-  EVENT.none,
+const END_EVENTS: ReadonlySet<number> = new Set([
+  EVENT.answeredByBox,
   EVENT.refused,
   EVENT.cut,
   EVENT.ended,
-  EVENT.left
+  EVENT.callerDisconnected
 ])
--- a/src/core/losses.ts
+++ b/src/core/losses.ts
@@ -1,70 +1,76 @@
 /**
- * Where requests are lost, from the log lines of all boxes: for each route, how many were answered
- * in time, and for each of the others the one cause that says most. Every request counts once, so
- * that a row adds up to its total.
+ * Counts, from the log lines of all boxes, how many requests of each route were answered in time,
+ * and the others by their main cause. Each request counts once, so a row adds up to its total.
  */
 import type {LogLine} from "./explain.js"
 
-/** What became of a request; the first is the only one without a loss. */
+/** The outcomes of a request; all but the first are losses. */
 export const OUTCOMES = [
   "in-time",
-  /** Late, and it waited for its weights longer than for the engine. */
+  /** Answered late; the wait for the weights was longer than the time at the engine. */
   "late-weights",
-  /** Late, and it was sent more than once. */
+  /** Answered late after a retry. */
   "late-repeated",
-  /** Late, and most of the time passed at the backend server. */
+  /** Answered late; most of the time passed at the backend server. */
   "late-server",
-  /** Refused unrun within a quarter of its target. */
+  /** Refused without having run, within a quarter of the target time. */
   "refused-soon",
-  /** Refused unrun later than that. */
+  /** Refused without having run, later than that. */
   "refused-held",
-  /** Refused unrun: its organisation had used its limit. */
+  /** Refused without having run: the organisation had reached its usage limit. */
   "over-limit",
-  /** Refused unrun: its key was taken away while it waited. */
+  /** Refused without having run: the API key was revoked while the request waited. */
   "denied",
-  /** It may have run: its server broke, or its time was over. */
+  /** May have run: the backend server failed, or the deadline passed. */
   "failed",
   "cut",
-  /** The caller left first. */
+  /** The caller disconnected first. */
   "left",
-  /** Answered by the box itself: no route, or no configuration. */
+  /** Answered by the box itself, for lack of a route or a configuration. */
   "own"
 ] as const
 
 export type Outcome = (typeof OUTCOMES)[number]
 
-/** Counts of one route in one span of time. */
+/** Outcomes of one route in one time span. */
 export interface LossRow {
   readonly route: string
-  /** Start of the span, seconds after the first line; boxes' clocks are taken for alike. */
+  /** Start of the span in seconds after the first line, assuming that the boxes' clocks agree. */
   readonly fromS: number
   readonly total: number
   readonly counts: Readonly<Partial<Record<Outcome, number>>>
 }
 
-/** A refusal within this part of the target leaves its caller time to come back. */
-const SOON_SHARE = 0.25
+/** A refusal within this fraction of the target time leaves the caller time to retry. */
+const SOON_FRACTION = 0.25
 
-const EVENT = {again: 191, refused: 192, cut: 193, ended: 194, left: 196, none: 197}
+const EVENT = {
+  retry: 191,
+  refused: 192,
+  cut: 193,
+  ended: 194,
+  callerDisconnected: 196,
+  answeredByBox: 197
+}
 
-interface Row {
+interface MutableRow {
   readonly route: string
   readonly fromS: number
   total: number
   readonly counts: Partial<Record<Outcome, number>>
 }
 
-/** Counts outcomes by route and by spans of so many seconds; 0: one span. */
+/** Counts outcomes by route and by spans of `spanS` seconds. 0 means one span. */
 export function tellLosses(lines: readonly LogLine[], spanS: number): LossRow[] {
-  let begin = Infinity
-  for (const {time} of lines) begin = Math.min(begin, time)
-  const rows = new Map<string, Row>()
+  let firstTime = Infinity
+  for (const {time} of lines) firstTime = Math.min(firstTime, time)
+  const rows = new Map<string, MutableRow>()
   for (const line of lines) {
-    const outcome = judgeLine(line)
+    const outcome = outcomeOfLine(line)
     if (!outcome) continue
     const route = String(line["route"] ?? "(none)")
-    const afterS = (line.time - begin) / 1000
-    const fromS = spanS > 0 ? Math.floor(afterS / spanS) * spanS : 0
+    const sinceFirstS = (line.time - firstTime) / 1000
+    const fromS = spanS > 0 ? Math.floor(sinceFirstS / spanS) * spanS : 0
     const key = `${fromS} ${route}`
     const row = rows.get(key) ?? {route, fromS, total: 0, counts: {}}
     rows.set(key, row)
@@ -76,30 +82,30 @@
   )
 }
 
-/** The outcome that a line tells; undefined: it ends no request. */
-function judgeLine(line: LogLine): Outcome | undefined {
+/** Returns the outcome that a line reports. Undefined if the line ends no request. */
+function outcomeOfLine(line: LogLine): Outcome | undefined {
   switch (line.event) {
     case EVENT.ended:
-      return judgeAnswer(line)
+      return outcomeOfAnswer(line)
     case EVENT.refused: {
       const {reason} = line as {reason?: unknown}
       if (reason === "over-limit" || reason === "denied") return reason
       if (reason !== "not-run") return "failed"
-      const soonMs = Number(line["targetMs"]) * SOON_SHARE
+      const soonMs = Number(line["targetMs"]) * SOON_FRACTION
       return Number(line["heldMs"]) <= soonMs ? "refused-soon" : "refused-held"
     }
     case EVENT.cut:
       return "cut"
-    case EVENT.left:
+    case EVENT.callerDisconnected:
       return "left"
-    case EVENT.none:
+    case EVENT.answeredByBox:
       return "own"
     default:
       return undefined
   }
 }
 
-function judgeAnswer(line: LogLine): Outcome {
+function outcomeOfAnswer(line: LogLine): Outcome {
   const firstMs = Number(line["firstMs"])
   const sentMs = Number(line["sentMs"])
   if (firstMs <= Number(line["targetMs"])) return "in-time"
--- a/src/core/timeline.ts
+++ b/src/core/timeline.ts
@@ -1,27 +1,27 @@
 /**
- * What the boxes of a deployment went through, from their log lines: processes, leads, the key-value
- * service, configuration and backend servers. What several boxes wrote of the same thing within a
- * while is one entry that says when the first and the last of them did; boxes' clocks are taken for alike.
+ * Builds a timeline of a deployment from the log lines of its boxes: processes, leaderships, the
+ * key-value service, configuration and backend servers. Lines of several boxes about the same event
+ * are merged into one entry if they are close in time. Assumes that the boxes' clocks agree.
  */
 import type {LogLine} from "./explain.js"
 
-/** One thing that happened, at one box or at several. */
+/** An event that one or several boxes logged. */
 export interface TimelineEntry {
-  /** First and last line of it, seconds after the first line of all. */
+  /** Time of its first and its last line, in seconds after the first line of all. */
   readonly fromS: number
   readonly toS: number
   /** Number in the catalogue. */
   readonly event: number
-  /** What it is about, from the line: a backend server, a leader, a version, a reason; may be empty. */
+  /** What the event is about, for example a backend server or a version; may be empty. */
   readonly subject: string
-  /** Boxes that wrote of it, in the order in which they did. */
+  /** The boxes that logged it, in order of their first line. */
   readonly boxes: readonly string[]
 }
 
-/** Lines of one thing lie no further apart than this, milliseconds: the longest that news may take. */
-const TOGETHER_MS = 2_000
+/** Largest gap between lines of one entry: the longest time an update takes to reach a box. */
+const MERGE_GAP_MS = 2_000
 
-/** The events that a timeline holds, with the field that says what each is about. */
+/** The event numbers of a timeline, each with the log field that holds its subject. */
 const SUBJECTS: ReadonlyMap<number, string> = new Map([
   [100, ""],
   [101, ""],
@@ -67,24 +67,24 @@
   readonly boxes: string[]
 }
 
-/** The entries in the order of their first lines. */
+/** Returns the entries in the order of their first lines. */
 export function tellTimeline(lines: readonly LogLine[]): TimelineEntry[] {
-  const told = lines
+  const relevant = lines
     .filter(({event}) => SUBJECTS.has(event))
     .sort((a, b) => a.time - b.time)
   const entries: OpenEntry[] = []
-  const newest = new Map<string, OpenEntry>()
-  for (const {event, time, box, ...fields} of told) {
+  const latest = new Map<string, OpenEntry>()
+  for (const {event, time, box, ...fields} of relevant) {
     const subject = String(fields[SUBJECTS.get(event) ?? ""] ?? "")
     const key = `${event} ${subject}`
-    const open = newest.get(key)
-    if (open && time - open.to <= TOGETHER_MS) {
+    const open = latest.get(key)
+    if (open && time - open.to <= MERGE_GAP_MS) {
       open.to = time
       if (!open.boxes.includes(box)) open.boxes.push(box)
       continue
     }
     const entry = {event, subject, from: time, to: time, boxes: [box]}
-    newest.set(key, entry)
+    latest.set(key, entry)
     entries.push(entry)
   }
   const begin = firstTime(lines)
@@ -98,7 +98,7 @@
   }))
 }
 
-/** Not by spreading all times into `Math.min`: there may be millions of lines. */
+/** Uses a loop because `Math.min(...times)` fails on millions of lines. */
 function firstTime(lines: readonly LogLine[]): number {
   let first = Infinity
   for (const {time} of lines) first = Math.min(first, time)
--- a/src/core/timing.ts
+++ b/src/core/timing.ts
@@ -1,42 +1,53 @@
-/** The times the protocol rests on, in milliseconds. Settings scale them; tests shorten them. */
+/** The times of the ownership protocol. They can be set in the settings. */
 export interface Timing {
-  /** The keeper's lease in the key-value service. */
+  /** Time to live of a keeper's lease in the key-value service. */
   readonly leaseTtlMs: number
-  /** Renewal interval. */
+  /** Interval between renewals of the lease. */
   readonly renewMs: number
-  /** Taken off the lease by its holder: clock rate error and the time an order is on its way. */
+  /**
+   * How much earlier than the key-value service a keeper treats its lease as expired;
+   * covers clock drift and the delivery time of orders.
+   */
   readonly leaseMarginMs: number
-  /** Waited after a lease was seen lapsed, before a takeover. */
+  /**
+   * How long a keeper waits after it sees a lease expire before it takes over the shares.
+   */
   readonly takeoverMarginMs: number
-  /** Between the claims of keepers of falling rank. */
+  /** Delay between the claims of keepers of consecutive rank. */
   readonly claimStaggerMs: number
-  /** Heartbeat of a link between own processes. */
+  /** Heartbeat interval of links between processes of the system. */
   readonly heartbeatMs: number
-  /** A link silent for so long is dead. */
+  /** A link without a message for this time counts as broken. */
   readonly linkSilenceMs: number
-  /** An entry goes on without an owner for so long on engines that check no fences. */
+  /** How long an entry without an owner keeps using engines that do not check fences. */
   readonly ownerlessMs: number
-  /** A silent entry is taken for gone after this on engines that check no fences. */
+  /**
+   * After this time without messages an entry counts as gone, for engines that do not
+   * check fences.
+   */
   readonly entryGoneMs: number
-  /** As above on engines that check fences, once they have confirmed the cancel. */
+  /** As above, for engines that check fences and have confirmed the cancel. */
   readonly entrySilentMs: number
-  /** How long an engine that resumes streams goes on with one whose entry is gone. */
+  /** How long an engine that resumes streams continues one whose entry is gone. */
   readonly streamLingerMs: number
-  /** How long a load may take before it counts as failed. */
+  /** Time after which a load counts as failed. */
   readonly loadTimeoutMs: number
-  /** The first pause after a failed load; doubled each time, up to 32 times. */
+  /**
+   * Back-off after the first failed load; it doubles with each failure, up to 32 times
+   * this value.
+   */
   readonly loadBackoffMs: number
-  /** A pair unused for so long is released by its entry. */
+  /** How long an entry keeps an unused grant of an adapter on an engine. */
   readonly holdMs: number
-  /** How long an idempotency key is remembered. */
+  /** How long an idempotency key is kept. */
   readonly keyRetentionMs: number
-  /** The least time between two writes of one register shard. */
+  /** Shortest time between two writes of one register shard. */
   readonly commitIntervalMs: number
-  /** The longest a request may run at a backend server. */
+  /** Longest run time of a request at a backend server. */
   readonly requestMaxMs: number
 }
 
-/** Values for production; docs/design/ownership.md says where they come from. */
+/** Defaults; docs/design/ownership.md gives the reasons for them. */
 export const DEFAULT_TIMING: Timing = {
   leaseTtlMs: 10_000,
   renewMs: 3_000,
@@ -57,28 +68,29 @@
   requestMaxMs: 300_000
 }
 
-/** What each time is, for the settings reference. */
+/** Descriptions for the settings reference. */
 export const TIMING_TEXTS: Readonly<Record<keyof Timing, string>> = {
-  leaseTtlMs: "The keeper's lease in the key-value service",
-  renewMs: "Renewal interval",
+  leaseTtlMs: "Time to live of a keeper's lease in the key-value service",
+  renewMs: "Interval between renewals of the lease",
   leaseMarginMs:
-    "Taken off the lease by its holder: clock rate error and the time an order is on its way",
-  takeoverMarginMs: "Waited after a lease was seen lapsed, before a takeover",
-  claimStaggerMs: "Between the claims of keepers of falling rank",
-  heartbeatMs: "Heartbeat of a link between own processes",
-  linkSilenceMs: "A link silent for so long is dead",
+    "How much earlier than the key-value service a keeper treats its lease as expired; covers clock drift and the delivery time of orders",
+  takeoverMarginMs:
+    "How long a keeper waits after it sees a lease expire before it takes over the shares",
+  claimStaggerMs: "Delay between the claims of keepers of consecutive rank",
+  heartbeatMs: "Heartbeat interval of links between processes of the system",
+  linkSilenceMs: "A link without a message for this time counts as broken",
   ownerlessMs:
-    "An entry goes on without an owner for so long on engines that check no fences",
+    "How long an entry without an owner keeps using engines that do not check fences",
   entryGoneMs:
-    "A silent entry is taken for gone after this on engines that check no fences",
-  entrySilentMs:
-    "As above on engines that check fences, once they have confirmed the cancel",
+    "After this time without messages an entry counts as gone, for engines that do not check fences",
+  entrySilentMs: "As above, for engines that check fences and have confirmed the cancel",
   streamLingerMs:
-    "How long an engine that resumes streams goes on with one whose entry is gone",
-  loadTimeoutMs: "How long a load may take before it counts as failed",
-  loadBackoffMs: "The first pause after a failed load; doubled each time, up to 32 times",
-  holdMs: "A pair unused for so long is released by its entry",
-  keyRetentionMs: "How long an idempotency key is remembered",
-  commitIntervalMs: "The least time between two writes of one register shard",
-  requestMaxMs: "The longest a request may run at a backend server"
+    "How long an engine that resumes streams continues one whose entry is gone",
+  loadTimeoutMs: "Time after which a load counts as failed",
+  loadBackoffMs:
+    "Back-off after the first failed load; it doubles with each failure, up to 32 times this value",
+  holdMs: "How long an entry keeps an unused grant of an adapter on an engine",
+  keyRetentionMs: "How long an idempotency key is kept",
+  commitIntervalMs: "Shortest time between two writes of one register shard",
+  requestMaxMs: "Longest run time of a request at a backend server"
 }
--- a/test/explain.test.ts
+++ b/test/explain.test.ts
@@ -30,7 +30,7 @@
   const served = await bed.call(box, "/stream/x", {adapter: "a1"})
   t.equal(served.status, 200)
   const story = await explain(bed, served.id)
-  t.match(story, /answered whole/)
+  t.match(story, /answered completely/)
   t.match(story, /attempt 1 sent to/)
   t.match(story, /load ordered at .* from the weight store/)
 
