--- a/test/config.test.ts
+++ b/test/config.test.ts
@@ -1,4 +1,4 @@
-/** Configuration: accepted is durable, in force everywhere, and never goes back. */
+/** Accepted configuration changes are durable, take effect everywhere and are never reverted. */
 import t from "tap"
 import {Calls} from "./support/calls.js"
 import {command, Deployment, getJson} from "./support/deployment.js"
@@ -34,38 +34,41 @@
   t.match(status, {inForceEverywhere: true, generation})
 })
 
-t.test("of racing operators one wins, and the other is shown both", async t => {
-  const deployment = await Deployment.start({boxes: 2})
-  t.teardown(() => deployment.stop())
-  for (let round = 0; round < 5; round++) {
-    const results = await Promise.allSettled(
-      deployment.boxes.map(box =>
-        deployment.change(description(`${box.name} ${round}`), box)
+t.test(
+  "of concurrent changes one is accepted; the other operator is shown both",
+  async t => {
+    const deployment = await Deployment.start({boxes: 2})
+    t.teardown(() => deployment.stop())
+    for (let round = 0; round < 5; round++) {
+      const results = await Promise.allSettled(
+        deployment.boxes.map(box =>
+          deployment.change(description(`${box.name} ${round}`), box)
+        )
       )
-    )
-    const lost = results.filter(result => result.status === "rejected")
-    for (const {reason} of lost as PromiseRejectedResult[]) {
-      t.match(reason, {
-        code: "conflict",
-        outcome: "not-run",
-        conflicts: [{kind: "baseModel", id: "base-a", yours: {}, theirs: {}}]
-      })
+      const lost = results.filter(result => result.status === "rejected")
+      for (const {reason} of lost as PromiseRejectedResult[]) {
+        t.match(reason, {
+          code: "conflict",
+          outcome: "not-run",
+          conflicts: [{kind: "baseModel", id: "base-a", yours: {}, theirs: {}}]
+        })
+      }
+      t.ok(lost.length < 2, "at least one change is accepted")
     }
-    t.ok(lost.length < 2, "not both lose")
-  }
-  const seen = await deployment.admin("GET", "/v1/records/baseModel/base-a")
-  await deployment.change(description("newer"))
-  const stale = {
-    kind: "baseModel" as const,
-    id: "base-a",
-    value: {},
-    ifGeneration: seen.generation
+    const seen = await deployment.admin("GET", "/v1/records/baseModel/base-a")
+    await deployment.change(description("newer"))
+    const stale = {
+      kind: "baseModel" as const,
+      id: "base-a",
+      value: {},
+      ifGeneration: seen.generation
+    }
+    await t.rejects(deployment.change([stale]), {code: "conflict"})
   }
-  await t.rejects(deployment.change([stale]), {code: "conflict"})
-})
+)
 
 t.test(
-  "a lost answer is settled: accepted when it took effect, unknown while that is open",
+  "a change whose answer was lost is reported as accepted, or as unknown until that is settled",
   async t => {
     const deployment = await Deployment.start({boxes: 2})
     t.teardown(() => deployment.stop())
@@ -73,7 +76,7 @@
     const settled = await deployment.change(description("lost answer"))
     t.equal(settled.generation, 2, "read back by its operation id")
 
-    // The change reaches the service, and nothing comes back any more.
+    // The change reaches the service, but all answers are blocked.
     deployment.kv.proxy.set({blockDown: true})
     const operation = "operation-7"
     const body = {operation, records: description("open")}
@@ -95,7 +98,7 @@
 )
 
 t.test(
-  "in an outage changes are refused as not run, and a box that starts learns from peers",
+  "in an outage changes are refused as not run, and a starting box gets the configuration from peers",
   async t => {
     const deployment = await Deployment.start({boxes: 2})
     t.teardown(() => deployment.stop())
@@ -110,13 +113,13 @@
     })
     const late = await deployment.addBox(2)
     const calls = new Calls(deployment)
-    await until("it learned from peers", async () => {
+    await until("it got the configuration from peers", async () => {
       const state = await getJson(`http://${late.entryOps}/state`).catch(() => undefined)
       return state?.generation === 2
     })
     t.match(await calls.send(late), {kind: "answered"}, "and serves")
     await command(deployment.kv, "fault", {})
-    const {generation} = await until("changes go on", () =>
+    const {generation} = await until("changes are accepted again", () =>
       deployment.change(description("after")).catch(() => undefined)
     )
     t.equal(generation, 3)
@@ -126,38 +129,41 @@
   }
 )
 
-t.test("versions are immutable, and what is named or in use is not retired", async t => {
-  const deployment = await Deployment.start({adapters: 2})
-  t.teardown(() => deployment.stop())
-  const calls = new Calls(deployment)
-  const [box] = deployment.boxes
-  if (box) await calls.send(box)
-  const version = {adapter: "base-a-a0", version: "1", weights: "other"}
-  await t.rejects(
-    deployment.change([{kind: "version", id: "base-a-a0@1", value: version}]),
-    {
+t.test(
+  "versions are immutable, and records that are referenced or in use cannot be retired",
+  async t => {
+    const deployment = await Deployment.start({adapters: 2})
+    t.teardown(() => deployment.stop())
+    const calls = new Calls(deployment)
+    const [box] = deployment.boxes
+    if (box) await calls.send(box)
+    const version = {adapter: "base-a-a0", version: "1", weights: "other"}
+    await t.rejects(
+      deployment.change([{kind: "version", id: "base-a-a0@1", value: version}]),
+      {
+        code: "invalid-change",
+        findings: [{place: "/records/0/value/weights"}]
+      }
+    )
+    const inUse = await deployment
+      .change([{kind: "version", id: "base-a-a0@1"}])
+      .catch(e => e)
+    t.match(inUse, {
       code: "invalid-change",
-      findings: [{place: "/records/0/value/weights"}]
-    }
-  )
-  const inUse = await deployment
-    .change([{kind: "version", id: "base-a-a0@1"}])
-    .catch(e => e)
-  t.match(inUse, {
-    code: "invalid-change",
-    findings: [{message: "is in use by an engine"}]
-  })
-  await t.rejects(
-    deployment.change([
-      {kind: "adapter", id: "base-a-a1"},
-      {kind: "organisation", id: "cotejo"},
-      {kind: "organisation", id: "bad name", value: {classes: []}}
-    ]),
-    {code: "invalid-change"}
-  )
-  const retired = await deployment.change([
-    {kind: "version", id: "base-a-a1@1"},
-    {kind: "adapter", id: "base-a-a1"}
-  ])
-  t.equal(retired.generation, 2)
-})
+      findings: [{message: "is in use by an engine"}]
+    })
+    await t.rejects(
+      deployment.change([
+        {kind: "adapter", id: "base-a-a1"},
+        {kind: "organisation", id: "cotejo"},
+        {kind: "organisation", id: "bad name", value: {classes: []}}
+      ]),
+      {code: "invalid-change"}
+    )
+    const retired = await deployment.change([
+      {kind: "version", id: "base-a-a1@1"},
+      {kind: "adapter", id: "base-a-a1"}
+    ])
+    t.equal(retired.generation, 2)
+  }
+)
--- a/test/entry.test.ts
+++ b/test/entry.test.ts
@@ -1,4 +1,4 @@
-/** Orders of events that processes rarely reach, given to the entry's core directly. */
+/** Tests rare event sequences directly on the state machine of the entry. */
 import t from "tap"
 import {createEntry, DEFAULT_TIMING, restoreSnapshot, stepEntry} from "../src/index.js"
 import type {EntryEffect, EntryEvent, EntryOptions} from "../src/index.js"
@@ -47,7 +47,7 @@
   }
 ]
 
-/** An entry under test that is linked to one keeper. */
+/** An entry that is linked to one keeper. */
 function createSubject(records = RECORDS) {
   let state = createEntry(1)
   const take = (event: EntryEvent, now = 1_000): readonly EntryEffect[] => {
@@ -93,18 +93,24 @@
   }
 })
 
-t.test("a keeper that lost its shares and took them again is asked again", async t => {
-  const asking = createSubject()
-  asking.owned(1)
-  t.match(asking.arrive(), [{message: {t: "ask"}}])
-  t.match(asking.owned(2), [{message: {t: "inventory", fence: 2}}, {message: {t: "ask"}}])
-  const reserving = createSubject()
-  reserving.owned(1)
-  t.match(reserving.arrive("abcdef0123456789"), [{message: {t: "reserve"}}])
-  t.match(reserving.owned(2), [{message: {t: "inventory"}}, {message: {t: "reserve"}}])
-})
+t.test(
+  "requests are sent again to a keeper that lost and regained its shares",
+  async t => {
+    const asking = createSubject()
+    asking.owned(1)
+    t.match(asking.arrive(), [{message: {t: "ask"}}])
+    t.match(asking.owned(2), [
+      {message: {t: "inventory", fence: 2}},
+      {message: {t: "ask"}}
+    ])
+    const reserving = createSubject()
+    reserving.owned(1)
+    t.match(reserving.arrive("abcdef0123456789"), [{message: {t: "reserve"}}])
+    t.match(reserving.owned(2), [{message: {t: "inventory"}}, {message: {t: "reserve"}}])
+  }
+)
 
-t.test("a grant below the highest fence seen is not used", async t => {
+t.test("a grant with a fence below the highest seen is ignored", async t => {
   const subject = createSubject()
   subject.owned(1)
   subject.arrive()
@@ -113,21 +119,18 @@
   t.match(subject.take(grantOf(1)), [{type: "note", event: "stale-grant"}])
 })
 
-t.test(
-  "a grant that waited in a buffer while the entry stood still is not used",
-  async t => {
-    const subject = createSubject()
-    subject.owned(1)
-    subject.arrive()
-    const late = 1_000 + DEFAULT_TIMING.linkSilenceMs
-    t.match(subject.take(grantOf(1), late), [
-      {type: "note", event: "paused"},
-      {type: "reset-links"}
-    ])
-  }
-)
+t.test("a grant that was buffered during a process pause is ignored", async t => {
+  const subject = createSubject()
+  subject.owned(1)
+  subject.arrive()
+  const late = 1_000 + DEFAULT_TIMING.linkSilenceMs
+  t.match(subject.take(grantOf(1), late), [
+    {type: "note", event: "paused"},
+    {type: "reset-links"}
+  ])
+})
 
-t.test("a request with a lost attempt is never said to be not run", async t => {
+t.test("a request with a lost attempt is never reported as not run", async t => {
   const subject = createSubject()
   subject.owned(1)
   subject.arrive()
@@ -151,7 +154,7 @@
     : record
 )
 
-/** A stream that runs at an engine that can resume, and how it ends. */
+/** A running stream at an engine that resumes streams, and a function that ends its connection. */
 function createStream() {
   const subject = createSubject(RESUMING)
   subject.owned(1)
@@ -167,9 +170,9 @@
   async t => {
     const {take, end} = createStream()
     t.match(end("lost"), [{event: "resume"}, {type: "resume", attempt: "r1.0"}])
-    for (let tries = 2; tries <= 4; tries++) {
-      t.same(end("lost", true, tries * 1_000), [], "not at once again")
-      const due = take({type: "tick"}, tries * 1_000 + 900)
+    for (let resume = 2; resume <= 4; resume++) {
+      t.same(end("lost", true, resume * 1_000), [], "the next resume is delayed")
+      const due = take({type: "tick"}, resume * 1_000 + 900)
       t.match(due, [{event: "resume"}, {type: "resume"}])
     }
     t.match(end("lost", true, 6_000), [{type: "cancel"}, {type: "break-off"}])
@@ -177,7 +180,7 @@
 )
 
 t.test(
-  "a caller that hangs up between two tries ends the stream at the engine",
+  "a disconnect of the caller between two resumes cancels the stream at the engine",
   async t => {
     const {take, end} = createStream()
     end("lost")
@@ -186,17 +189,20 @@
   }
 )
 
-t.test("a stream the engine no longer has is broken off, or tried anew", async t => {
-  const begun = createStream()
-  begun.end("lost")
-  t.match(begun.end("gone"), [{type: "cancel"}, {type: "break-off"}])
-  const silent = createStream()
-  silent.end("lost", false)
-  t.match(silent.end("gone", false), [{type: "cancel"}, {event: "retry"}])
-})
+t.test(
+  "a stream that the engine no longer has is broken off, or retried if nothing was sent",
+  async t => {
+    const begun = createStream()
+    begun.end("lost")
+    t.match(begun.end("gone"), [{type: "cancel"}, {type: "break-off"}])
+    const silent = createStream()
+    silent.end("lost", false)
+    t.match(silent.end("gone", false), [{type: "cancel"}, {event: "retry"}])
+  }
+)
 
 t.test(
-  "a stream that goes on after each resume may break any number of times",
+  "a stream that delivers events after each resume may break any number of times",
   async t => {
     const {take} = createStream()
     const event = {type: "backend-result", request: "r1", result: "lost"} as const
--- a/test/explain.test.ts
+++ b/test/explain.test.ts
@@ -1,4 +1,4 @@
-/** From a request's id to its cause, by logs alone: the real programs on the platform's stand-in. */
+/** Explains requests from logs alone, with the real programs on the simulated platform. */
 import {mkdtempSync, writeFileSync} from "node:fs"
 import {tmpdir} from "node:os"
 import {join} from "node:path"
@@ -9,7 +9,7 @@
 import {until} from "./support/wait.js"
 
 async function explain(bed: PlatformBed, request: string): Promise<string> {
-  // Lines are written a little later than they are logged.
+  // Log lines are written with a delay.
   await until("the request's end is in the logs", () =>
     new RegExp(`"event":19[23467][^\\n]*"request":"${request}"`).test(bed.logs())
   )
@@ -29,10 +29,10 @@
 
   const served = await bed.call(box, "/stream/x", {adapter: "a1"})
   t.equal(served.status, 200)
-  const story = await explain(bed, served.id)
-  t.match(story, /answered completely/)
-  t.match(story, /attempt 1 sent to/)
-  t.match(story, /load ordered at .* from the weight store/)
+  const explanationText = await explain(bed, served.id)
+  t.match(explanationText, /answered completely/)
+  t.match(explanationText, /attempt 1 sent to/)
+  t.match(explanationText, /load ordered at .* from the weight store/)
 
   const lost = await bed.call(box, "/none/x")
   t.equal(lost.status, 404)
@@ -44,7 +44,7 @@
   t.match(await explain(bed, refused.id), /refused|failed/)
 })
 
-t.test("lines keep the order of their box, whatever its clock did", async t => {
+t.test("lines keep the order of their box, also when its clock steps back", async t => {
   const lines: LogLine[] = [
     {box: "a", event: 190, time: 5_000, request: "r", attempt: 1, backend: "s"},
     {box: "a", event: 191, time: 3_000, request: "r", after: "broken"},
--- a/test/losses.test.ts
+++ b/test/losses.test.ts
@@ -1,4 +1,4 @@
-/** The table of losses: every request counts once, under the cause that says most. */
+/** The table of losses counts each request once, under its main cause. */
 import t from "tap"
 import type {LogLine} from "../src/core/explain.js"
 import {tellLosses} from "../src/core/losses.js"
@@ -52,7 +52,7 @@
   ])
 })
 
-t.test("rows are parted by spans of time", async t => {
+t.test("rows are split by time span", async t => {
   const first = ended(0, 1)
   clock += 12_000
   const rows = tellLosses([first, ended(0, 1)], 5)
@@ -65,4 +65,4 @@
   )
 })
 
-t.test("no lines make no rows", async t => t.same(tellLosses([], 5), []))
+t.test("without lines there are no rows", async t => t.same(tellLosses([], 5), []))
--- a/test/timeline.test.ts
+++ b/test/timeline.test.ts
@@ -1,4 +1,4 @@
-/** What boxes went through, from their logs: one entry for what several wrote of the same thing. */
+/** The timeline merges lines of several boxes about the same event into one entry. */
 import {mkdtempSync, writeFileSync} from "node:fs"
 import {tmpdir} from "node:os"
 import {join} from "node:path"
@@ -17,14 +17,14 @@
 const left = (box: string, atMs: number): LogLine =>
   line(box, atMs, 205, {backend: "s", source: "store"})
 
-t.test("boxes that learn of the same thing make one entry", async t => {
+t.test("lines of several boxes about the same event make one entry", async t => {
   const lines = [left("b", 1_400), left("a", 1_000), left("b", 1_500), left("c", 2_900)]
   t.same(tellTimeline([line("a", 0, 190), ...lines]), [
     {fromS: 1, toS: 2.9, event: 205, subject: "s", boxes: ["a", "b", "c"]}
   ])
 })
 
-t.test("what comes later than news may take is another entry", async t => {
+t.test("a line that is later than an update can take makes another entry", async t => {
   const entries = tellTimeline([left("a", 0), left("b", 2_001)])
   t.same(
     entries.map(({fromS, boxes}) => [fromS, ...boxes]),
@@ -35,7 +35,7 @@
   )
 })
 
-t.test("different things stay apart, in the order of their first lines", async t => {
+t.test("different events stay separate, in the order of their first lines", async t => {
   const entries = tellTimeline([
     line("a", 500, 184, {fence: 7, waitMs: 3_200}),
     left("a", 300),
@@ -53,27 +53,24 @@
   )
 })
 
-t.test(
-  "servers that started again and keys that cannot be read are told by name",
-  async t => {
-    const entries = tellTimeline([
-      line("a", 100, 208, {backend: "s~1", before: "s~0", source: "store"}),
-      line("a", 200, 209, {key: "k/x", revision: 4, reason: "/: no JSON"}),
-      line("b", 300, 209, {key: "k/x", revision: 4, reason: "/: no JSON"})
-    ])
-    t.same(
-      entries.map(({event, subject, boxes}) => [event, subject, ...boxes]),
-      [
-        [208, "s~1", "a"],
-        [209, "k/x", "a", "b"]
-      ]
-    )
-  }
-)
+t.test("restarted servers and unreadable keys are listed by name", async t => {
+  const entries = tellTimeline([
+    line("a", 100, 208, {backend: "s~1", before: "s~0", source: "store"}),
+    line("a", 200, 209, {key: "k/x", revision: 4, reason: "/: no JSON"}),
+    line("b", 300, 209, {key: "k/x", revision: 4, reason: "/: no JSON"})
+  ])
+  t.same(
+    entries.map(({event, subject, boxes}) => [event, subject, ...boxes]),
+    [
+      [208, "s~1", "a"],
+      [209, "k/x", "a", "b"]
+    ]
+  )
+})
 
-t.test("no lines make no entries", async t => t.same(tellTimeline([]), []))
+t.test("without lines there are no entries", async t => t.same(tellTimeline([]), []))
 
-t.test("an operator reads it with sedgectl", async t => {
+t.test("sedgectl prints the timeline", async t => {
   const file = join(mkdtempSync(join(tmpdir(), "sedge-logs-")), "boxes.log")
   const lines = [left("a", 0), left("b", 250)]
   writeFileSync(file, lines.map(each => JSON.stringify(each)).join("\n"))
