--- a/src/core/changes.ts
+++ b/src/core/changes.ts
@@ -41,7 +41,9 @@
   readonly seen: number
 }
 
-/** Validates each record, and the configuration that results from all of them together. */
+/**
+ * Validates each record, and the configuration that results from all of them together.
+ */
 export function checkChange(
   config: Configuration,
   proposed: readonly ProposedRecord[],
--- a/src/core/configuration.ts
+++ b/src/core/configuration.ts
@@ -29,7 +29,9 @@
   }
 }
 
-/** Applies the changes that continue the configuration without a gap, in any input order. */
+/**
+ * Applies the changes that continue the configuration without a gap, in any input order.
+ */
 export function applyChanges(
   config: Configuration,
   changes: readonly ConfigChange[]
@@ -113,7 +115,9 @@
   return {name, baseModel, adapter: adapterName, weights: version.value.weights}
 }
 
-/** Backend servers by cell, base model and service, computed once per table of records. */
+/**
+ * Backend servers by cell, base model and service, computed once per table of records.
+ */
 interface BackendIndex {
   readonly cells: ReadonlyMap<string, ReadonlyMap<string, ModelEngine>>
   readonly cellsByBase: ReadonlyMap<string, readonly string[]>
@@ -175,7 +179,10 @@
   return indexBackends(config).cellsByBase.get(baseModel) ?? []
 }
 
-/** Returns the fraction of all model engines that are in a cell; 1 if there are none at all. */
+/**
+ * Returns the fraction of all model engines that are in a cell; 1 if there are none at
+ * all.
+ */
 export function shareOfCell(config: Configuration, cell: string): number {
   const {cells, engineCount} = indexBackends(config)
   return engineCount === 0 ? 1 : (cells.get(cell)?.size ?? 0) / engineCount
--- a/src/core/entry-cells.ts
+++ b/src/core/entry-cells.ts
@@ -1,4 +1,6 @@
-/** Messages of keepers to an entry, and the grants that the entry holds on their engines. */
+/**
+ * Messages of keepers to an entry, and the grants that the entry holds on their engines.
+ */
 import type {Grant, KeeperMessage, Known, Owned, Recall} from "../types/messages.js"
 import type {ErrorCode} from "../errors.js"
 import {
@@ -59,8 +61,8 @@
 }
 
 /**
- * Applies the list of shares that a keeper owns. For a newly owned cell the inventory is sent
- * before any request.
+ * Applies the list of shares that a keeper owns. For a newly owned cell the inventory is
+ * sent before any request.
  */
 function applyOwnedShares(draft: EntryDraft, keeper: string, {shares}: Owned): void {
   const link = draft.links.get(keeper)
@@ -79,7 +81,10 @@
   askAgain(draft)
 }
 
-/** Marks requests as not asked, since a keeper that lost and regained a share has dropped them. */
+/**
+ * Marks requests as not asked, since a keeper that lost and regained a share has dropped
+ * them.
+ */
 function clearAskedKeeper(
   draft: EntryDraft,
   keeper: string,
@@ -118,8 +123,8 @@
 }
 
 /**
- * Advances all waiting requests. Those that wait for a keeper that no longer owns their share
- * are sent to the current owner.
+ * Advances all waiting requests. Those that wait for a keeper that no longer owns their
+ * share are sent to the current owner.
  */
 export function askAgain(draft: EntryDraft): void {
   for (const [id, request] of draft.requests) {
--- a/src/core/entry-draft.ts
+++ b/src/core/entry-draft.ts
@@ -78,7 +78,10 @@
   return next
 }
 
-/** Returns the linked keeper that owns a share. Lower fences than the highest seen are stale. */
+/**
+ * Returns the linked keeper that owns a share. Lower fences than the highest seen are
+ * stale.
+ */
 export function findOwner(draft: EntryDraft, share: string): string | undefined {
   const highest = draft.fences.get(share) ?? 0
   for (const [keeper, link] of draft.links) {
@@ -88,7 +91,9 @@
   return undefined
 }
 
-/** Records the time of a message from the keeper, for the link and for the shares it owns. */
+/**
+ * Records the time of a message from the keeper, for the link and for the shares it owns.
+ */
 export function hear(draft: EntryDraft, keeper: string): void {
   const link = draft.links.get(keeper)
   if (!link) return
--- a/src/core/entry-register.ts
+++ b/src/core/entry-register.ts
@@ -5,12 +5,14 @@
 import {cellShare, registerShare} from "./keeper-state.js"
 
 /**
- * Outcomes kept for register shards without an owner. Beyond this limit the oldest are dropped,
- * and the register keeps the state it has for their keys.
+ * Outcomes kept for register shards without an owner. Beyond this limit the oldest are
+ * dropped, and the register keeps the state it has for their keys.
  */
 const MAX_UNSENT_SETTLES = 10_000
 
-/** Asks the register to record the key; the request continues when the record is durable. */
+/**
+ * Asks the register to record the key; the request continues when the record is durable.
+ */
 export function reserveKey(draft: EntryDraft, request: EntryRequest): void {
   const {request: id, key, body} = request
   if (key === undefined) return
--- a/src/core/entry-requests.ts
+++ b/src/core/entry-requests.ts
@@ -19,10 +19,14 @@
 export const RETRY_AFTER_MS = 1_000
 const RETRY_TOKENS_PER_REQUEST = 0.1
 const MAX_RETRY_TOKENS = 50
-/** Limits the part of an engine's batch that one entry fills while the cell has no owner. */
+/**
+ * Limits the part of an engine's batch that one entry fills while the cell has no owner.
+ */
 const OWNERLESS_BATCH_FRACTION = 0.5
 
-/** Admits a request that is within the limits; answers any other with an error at once. */
+/**
+ * Admits a request that is within the limits; answers any other with an error at once.
+ */
 export function admitRequest(draft: EntryDraft, arrival: Arrival): void {
   const refusal = checkLimits(draft, arrival)
   if (refusal) return answerArrival(draft, arrival, refusal, RETRY_AFTER_MS)
@@ -64,8 +68,8 @@
 }
 
 /**
- * Returns the cell whose engines serve a model; every entry picks the same one. Empty for a
- * plain service. Undefined if the target is not configured.
+ * Returns the cell whose engines serve a model; every entry picks the same one. Empty for
+ * a plain service. Undefined if the target is not configured.
  */
 function findCell(draft: EntryDraft, {target}: Arrival): string | undefined {
   if (target.kind === "service") {
@@ -77,8 +81,8 @@
 }
 
 /**
- * Answers "not found" for a service that is not configured. The engines of a model can come back,
- * so its callers are asked to retry.
+ * Answers "not found" for a service that is not configured. The engines of a model can
+ * come back, so its callers are asked to retry.
  */
 function answerUnknownTarget(draft: EntryDraft, arrival: Arrival): void {
   if (arrival.target.kind === "service") {
@@ -105,8 +109,8 @@
 }
 
 /**
- * Ends a request whose current attempt did not run. An earlier attempt may have run; the answer
- * says so.
+ * Ends a request whose current attempt did not run. An earlier attempt may have run; the
+ * answer says so.
  */
 export function refuseRequest(
   draft: EntryDraft,
@@ -123,7 +127,10 @@
   })
 }
 
-/** Removes a request whose current attempt did not run, here and at the keeper that was asked. */
+/**
+ * Removes a request whose current attempt did not run, here and at the keeper that was
+ * asked.
+ */
 export function dropRequest(draft: EntryDraft, request: EntryRequest): void {
   draft.requests.delete(request.request)
   if (request.phase === "asking" && request.askedOf !== "") {
@@ -164,9 +171,9 @@
 }
 
 /**
- * Dispatches under an earlier grant while the cell has no owner. This is safe because only a later
- * owner can evict the adapter, and it first gets this entry's inventory or waits until this
- * entry has stopped.
+ * Dispatches under an earlier grant while the cell has no owner. This is safe because
+ * only a later owner can evict the adapter, and it first gets this entry's inventory or
+ * waits until this entry has stopped.
  */
 function dispatchWithoutOwner(
   draft: EntryDraft,
@@ -282,8 +289,8 @@
 }
 
 /**
- * Scores a member, lower is better: members that did not fail recently first, then those in the
- * same data centre, then by the fraction of their request limit in use.
+ * Scores a member, lower is better: members that did not fail recently first, then those
+ * in the same data centre, then by the fraction of their request limit in use.
  */
 function scoreMember(draft: EntryDraft, id: string, member: PlainService): number {
   const remote = member.dataCentre === draft.options.dataCentre ? 0 : 1
--- a/src/core/entry-resume.ts
+++ b/src/core/entry-resume.ts
@@ -1,6 +1,7 @@
 /**
- * Resumes broken streams at the same engine. A resume runs nothing a second time, so it is also
- * safe for requests that must not be retried. The pin stays until the stream ends.
+ * Resumes broken streams at the same engine. A resume runs nothing a second time, so it
+ * is also safe for requests that must not be retried. The pin stays until the stream
+ * ends.
  */
 import {drawBackoff, type EntryDraft, note, updateRequest} from "./entry-draft.js"
 import {findEngine} from "./entry-requests.js"
--- a/src/core/entry-state.ts
+++ b/src/core/entry-state.ts
@@ -36,15 +36,17 @@
   readonly repeatable: boolean
   /** Digest of organisation and idempotency key. Undefined if the caller sent no key. */
   readonly key?: string
-  /** Digest of the body, to detect an idempotency key that is reused with another body. */
+  /**
+   * Digest of the body, to detect an idempotency key that is reused with another body.
+   */
   readonly body: string
   /** The limit that the caller set on the wait. Undefined means that of the class. */
   readonly patienceMs?: number
 }
 
 /**
- * `reserving`: the register is recording its idempotency key. `asking`: waits for a grant or for a
- * free member of the service. `running`: sent to a backend server.
+ * `reserving`: the register is recording its idempotency key. `asking`: waits for a grant
+ * or for a free member of the service. `running`: sent to a backend server.
  */
 export type RequestPhase = "reserving" | "asking" | "running"
 
@@ -76,8 +78,8 @@
 }
 
 /**
- * An attempt whose connection ended before the answer was complete. The engine may still be
- * running it, so the pin stays until the engine confirms the cancel.
+ * An attempt whose connection ended before the answer was complete. The engine may still
+ * be running it, so the pin stays until the engine confirms the cancel.
  */
 export interface Ending {
   readonly attempt: string
@@ -144,7 +146,9 @@
   | "not-sent"
   /** The connection failed after bytes were sent. */
   | "lost"
-  /** As `lost`; the stream cannot be resumed, as the engine lacks it or sent no event ids. */
+  /**
+   * As `lost`; the stream cannot be resumed, as the engine lacks it or sent no event ids.
+   */
   | "gone"
   | "timeout"
   | "wrong-model"
@@ -166,13 +170,18 @@
       readonly result: BackendResult
       /** Whether the caller received any byte of an answer. */
       readonly replied: boolean
-      /** The stream delivered events, or was idle until the timeout, before the connection ended. */
+      /**
+       * The stream delivered events, or was idle until the timeout, before the connection
+       * ended.
+       */
       readonly progressed?: boolean
     }
   | {
       readonly type: "cancelled"
       readonly attempt: string
-      /** The engine confirmed that it does not run the attempt, or the engine has ended. */
+      /**
+       * The engine confirmed that it does not run the attempt, or the engine has ended.
+       */
       readonly confirmed: boolean
     }
   | {readonly type: "box-list"; readonly leaving: ReadonlySet<string>}
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -56,9 +56,9 @@
 }
 
 /**
- * Drops all links after a process pause that is longer than the link timeout. During the pause
- * the owner may have declared this entry gone and revoked its grants, so messages that are
- * still buffered on those links must not be acted on.
+ * Drops all links after a process pause that is longer than the link timeout. During the
+ * pause the owner may have declared this entry gone and revoked its grants, so messages
+ * that are still buffered on those links must not be acted on.
  */
 function detectPause(draft: EntryDraft, lastEventAt: number): void {
   const gap = draft.now - lastEventAt
@@ -118,7 +118,9 @@
   }
 }
 
-/** Raises the fences to those of the share records, so that older grants count as stale. */
+/**
+ * Raises the fences to those of the share records, so that older grants count as stale.
+ */
 function applyShares(draft: EntryDraft, shares: EntryState["shares"]): void {
   draft.state = {...draft.state, shares}
   for (const [share, {fence}] of shares) {
@@ -135,8 +137,8 @@
 }
 
 /**
- * Closes the attempt's connection, which then reports the result. A stream that waits to be
- * resumed has no connection, so its result is applied here.
+ * Closes the attempt's connection, which then reports the result. A stream that waits to
+ * be resumed has no connection, so its result is applied here.
  */
 function abortRunning(
   draft: EntryDraft,
--- a/src/core/explain.ts
+++ b/src/core/explain.ts
@@ -1,7 +1,7 @@
 /**
- * Explains one request from the log lines of all boxes: the decisions, their inputs, and what the
- * answer guarantees to the caller. Lines keep the order in which their box wrote them, because
- * the clocks of boxes may differ.
+ * Explains one request from the log lines of all boxes: the decisions, their inputs, and
+ * what the answer guarantees to the caller. Lines keep the order in which their box wrote
+ * them, because the clocks of boxes may differ.
  */
 
 /** A line of the log of a box. */
@@ -58,8 +58,8 @@
 ])
 
 /**
- * Events that change a box's view of the system: key-value service, configuration, store snapshots,
- * links, leadership, suspects and rate limits.
+ * Events that change a box's view of the system: key-value service, configuration, store
+ * snapshots, links, leadership, suspects and rate limits.
  */
 const STATE_EVENTS: ReadonlySet<number> = new Set([
   104,
--- a/src/core/losses.ts
+++ b/src/core/losses.ts
@@ -1,6 +1,7 @@
 /**
- * Counts, from the log lines of all boxes, how many requests of each route were answered in time,
- * and the others by their main cause. Each request counts once, so a row adds up to its total.
+ * Counts, from the log lines of all boxes, how many requests of each route were answered
+ * in time, and the others by their main cause. Each request counts once, so a row adds up
+ * to its total.
  */
 import type {LogLine} from "./explain.js"
 
@@ -35,7 +36,10 @@
 /** Outcomes of one route in one time span. */
 export interface LossRow {
   readonly route: string
-  /** Start of the span in seconds after the first line, assuming that the boxes' clocks agree. */
+  /**
+   * Start of the span in seconds after the first line, assuming that the boxes' clocks
+   * agree.
+   */
   readonly fromS: number
   readonly total: number
   readonly counts: Readonly<Partial<Record<Outcome, number>>>
--- a/src/core/timeline.ts
+++ b/src/core/timeline.ts
@@ -1,7 +1,8 @@
 /**
- * Builds a timeline of a deployment from the log lines of its boxes: processes, leaderships, the
- * key-value service, configuration and backend servers. Lines of several boxes about the same event
- * are merged into one entry if they are close in time. Assumes that the boxes' clocks agree.
+ * Builds a timeline of a deployment from the log lines of its boxes: processes,
+ * leaderships, the key-value service, configuration and backend servers. Lines of several
+ * boxes about the same event are merged into one entry if they are close in time. Assumes
+ * that the boxes' clocks agree.
  */
 import type {LogLine} from "./explain.js"
 
@@ -18,7 +19,10 @@
   readonly boxes: readonly string[]
 }
 
-/** Largest gap between lines of one entry: the longest time an update takes to reach a box. */
+/**
+ * Largest gap between lines of one entry: the longest time an update takes to reach a
+ * box.
+ */
 const MERGE_GAP_MS = 2_000
 
 /** The event numbers of a timeline, each with the log field that holds its subject. */
--- a/src/errors.ts
+++ b/src/errors.ts
@@ -1,6 +1,8 @@
 /** The numbered table of errors, and the error classes. */
 
-/** What the caller can conclude: the request did not run, may have run, or ran and failed. */
+/**
+ * What the caller can conclude: the request did not run, may have run, or ran and failed.
+ */
 export type Outcome = "not-run" | "unknown" | "failed"
 
 interface ErrorEntry {
@@ -220,7 +222,9 @@
 /** The key-value service answered that it did not execute the call. */
 export class KvRefused extends KvUnavailable {}
 
-/** The answer was lost, so the key-value service may or may not have executed the call. */
+/**
+ * The answer was lost, so the key-value service may or may not have executed the call.
+ */
 export class KvUnknown extends Error {
   override readonly name = "KvUnknown"
 }
@@ -250,7 +254,9 @@
   }
 }
 
-/** Returns `Retry-After` in whole seconds, at least 1; no header if a retry does not help. */
+/**
+ * Returns `Retry-After` in whole seconds, at least 1; no header if a retry does not help.
+ */
 export function retryAfterHeader(error: SedgeError): Record<string, string> {
   if (error.retryAfterMs === undefined) return {}
   return {"retry-after": String(Math.max(1, Math.ceil(error.retryAfterMs / 1000)))}
--- a/src/events.ts
+++ b/src/events.ts
@@ -1,4 +1,7 @@
-/** The catalogue of log events. docs/EVENTS.md is generated from it. Numbers are never reused. */
+/**
+ * The catalogue of log events. docs/EVENTS.md is generated from it. Numbers are never
+ * reused.
+ */
 
 export type EventLevel = "debug" | "info" | "warn" | "error"
 
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The public API: the pure state machines of the processes, for benchmarks that drive them in
- * simulated time. See docs/design/core.md.
+ * The public API: the pure state machines of the processes, for benchmarks that drive
+ * them in simulated time. See docs/design/core.md.
  */
 export {createKeeper, stepKeeper} from "./core/keeper.js"
 export type {
--- a/src/types/box-frames.ts
+++ b/src/types/box-frames.ts
@@ -1,4 +1,7 @@
-/** Schemas of the messages from a box to its leader. Anything else is not from a box of the system. */
+/**
+ * Schemas of the messages from a box to its leader. Anything else is not from a box of
+ * the system.
+ */
 import * as z from "zod"
 import type {ToLeader} from "./box-messages.js"
 
--- a/src/types/box-messages.ts
+++ b/src/types/box-messages.ts
@@ -5,8 +5,8 @@
 import type {BackendRecord, FleetConfig} from "./fleet.js"
 
 /**
- * The era of the key-value service, as a box reports it. The era is a counter that goes up each
- * time the service is restored from an older backup.
+ * The era of the key-value service, as a box reports it. The era is a counter that goes
+ * up each time the service is restored from an older backup.
  */
 export interface ToldEra {
   readonly era: number
@@ -43,13 +43,17 @@
   readonly gone: readonly string[]
 }
 
-/** Prompt tokens queued at engines, by position in an engine list that all boxes share. */
+/**
+ * Prompt tokens queued at engines, by position in an engine list that all boxes share.
+ */
 export interface EngineLoads {
   /** The engine list. Undefined if it is the same as in the message before. */
   readonly order?: readonly string[]
   /** Prompt tokens to be prefilled at each engine, from all boxes, in hundreds. */
   readonly hundreds: readonly number[]
-  /** Prefill rate of an engine, as the leader estimates it. Undefined if it sends none. */
+  /**
+   * Prefill rate of an engine, as the leader estimates it. Undefined if it sends none.
+   */
   readonly tokensPerMs?: number
 }
 
@@ -102,9 +106,15 @@
       readonly capacity?: number | undefined
     }
   | AskNews
-  /** Requests the configuration, because the box could not read the version that was named. */
+  /**
+   * Requests the configuration, because the box could not read the version that was
+   * named.
+   */
   | {readonly t: "ask-config"}
-  /** Requests a full snapshot, because the box returns from reading the store to the leader. */
+  /**
+   * Requests a full snapshot, because the box returns from reading the store to the
+   * leader.
+   */
   | {readonly t: "ask-all"; readonly configVersion: number}
   | {readonly t: "need"; readonly need: Need}
   | {readonly t: "drop"; readonly request: string}
@@ -135,7 +145,10 @@
   | {readonly t: "renewed"; readonly ask: number; readonly known: boolean}
   | {readonly t: "pong"}
 
-/** When a message was sent, by the sender's clock. Undefined if the sender does not report it. */
+/**
+ * When a message was sent, by the sender's clock. Undefined if the sender does not report
+ * it.
+ */
 export interface Sent {
   readonly sentAt?: number
 }
@@ -143,7 +156,10 @@
 /** From the leader to a box. */
 export type FromLeader =
   | {readonly t: "config"; readonly config: FleetConfig}
-  /** Names a newer configuration in the store; sent instead of it when there are many boxes. */
+  /**
+   * Names a newer configuration in the store; sent instead of it when there are many
+   * boxes.
+   */
   | {readonly t: "config-named"; readonly version: number}
   | ({
       readonly t: "backends"
@@ -161,17 +177,26 @@
     }
   /** A full snapshot of all engines, at the start of a link. */
   | {readonly t: "engines"; readonly engines: readonly EngineNews[]}
-  /** Changes since then. Links are ordered and lossless, so deltas need no sequence number. */
+  /**
+   * Changes since then. Links are ordered and lossless, so deltas need no sequence
+   * number.
+   */
   | {
       readonly t: "places"
       readonly changes: readonly EngineChange[]
-      /** Sent along when there are many boxes, since each message costs more than its bytes. */
+      /**
+       * Sent along when there are many boxes, since each message costs more than its
+       * bytes.
+       */
       readonly loads?: EngineLoads | undefined
     }
   | {readonly t: "loads"; readonly loads: EngineLoads}
   /** Reports of requests that crash servers. `whole`: all reports that the leader has. */
   | {readonly t: "crashes"; readonly changes: CrashChanges; readonly whole: boolean}
-  /** Asks the box to renew the leader's lease, as the key-value service rejects the leader. */
+  /**
+   * Asks the box to renew the leader's lease, as the key-value service rejects the
+   * leader.
+   */
   | {readonly t: "renew"; readonly ask: number; readonly lease: string}
   | {readonly t: "refuse"; readonly request: string; readonly retryAfterMs: number}
   /** The answer to `usage`. */
@@ -180,7 +205,9 @@
       readonly ask: number
       readonly grants: readonly AllowanceGrant[]
     }
-  /** Rate limits that servers advertised for all boxes together, as reported by some box. */
+  /**
+   * Rate limits that servers advertised for all boxes together, as reported by some box.
+   */
   | {readonly t: "rates"; readonly news: readonly RateNews[]}
   /** The answer to `send-asks`. */
   | {readonly t: "send-grants"; readonly grants: readonly SendGrant[]}
@@ -191,7 +218,10 @@
       readonly t: "ping"
       /** Age of the leader's store snapshot, at the time of sending. */
       readonly newsAgeMs: number
-      /** Age of the store read behind its last sent configuration. Undefined if not reported. */
+      /**
+       * Age of the store read behind its last sent configuration. Undefined if not
+       * reported.
+       */
       readonly configAgeMs?: number
       readonly boxes: number
       /** Time until the leader may order loads. */
--- a/src/types/config.ts
+++ b/src/types/config.ts
@@ -22,7 +22,9 @@
 }
 
 export interface Organisation {
-  /** Hex SHA-256 of each key of the organisation; the keys themselves are never stored. */
+  /**
+   * Hex SHA-256 of each key of the organisation; the keys themselves are never stored.
+   */
   readonly keyHashes: readonly string[]
   readonly classes: readonly RequestClass[]
   /** Limit of requests in progress on one box. */
@@ -42,7 +44,9 @@
   readonly checksFences: boolean
   /** Whether a broken stream can be resumed where it broke off. */
   readonly resumesStreams?: boolean
-  /** The group of engines, owned by one keeper as a whole, that this engine belongs to. */
+  /**
+   * The group of engines, owned by one keeper as a whole, that this engine belongs to.
+   */
   readonly cell: string
 }
 
@@ -148,5 +152,8 @@
   readonly tables: ConfigTables
 }
 
-/** `base/adapter@version`: the name of a model in requests of callers and orders to engines. */
+/**
+ * `base/adapter@version`: the name of a model in requests of callers and orders to
+ * engines.
+ */
 export type ModelName = string
--- a/src/types/crash-messages.ts
+++ b/src/types/crash-messages.ts
@@ -15,6 +15,8 @@
 /** New and changed reports. Merging them gives the same result in any order. */
 export interface CrashChanges {
   readonly records: readonly CrashNews[]
-  /** Fingerprints of requests that a server answered completely, so they cause no crash. */
+  /**
+   * Fingerprints of requests that a server answered completely, so they cause no crash.
+   */
   readonly cleared: readonly string[]
 }
--- a/src/types/fleet.ts
+++ b/src/types/fleet.ts
@@ -1,10 +1,12 @@
-/** Records of a routed fleet: routes, services, backend servers and the state of engines. */
+/**
+ * Records of a routed fleet: routes, services, backend servers and the state of engines.
+ */
 import type {RoutedOrganisation} from "./organisations.js"
 import type {StorePosition} from "./store-position.js"
 
 /**
- * `safe` requests may be retried after they may have run, `unsafe` ones not, and `streaming` ones
- * only if the route is resumable.
+ * `safe` requests may be retried after they may have run, `unsafe` ones not, and
+ * `streaming` ones only if the route is resumable.
  */
 export type RouteKind = "safe" | "unsafe" | "streaming"
 
@@ -29,7 +31,9 @@
   readonly timeoutMs: number
   /** Answers within this time count as in time. */
   readonly targetMs: number
-  /** Callers disconnect when a stream sends no event, also no first event, for this time. */
+  /**
+   * Callers disconnect when a stream sends no event, also no first event, for this time.
+   */
   readonly patienceMs: number
   /** Longest gap between events that counts as in time. 0 means no target. */
   readonly gapTargetMs: number
@@ -93,11 +97,15 @@
   readonly adapters: ReadonlyMap<string, number>
 }
 
-/** A backend server as it last described itself, with the position of that change in the store. */
+/**
+ * A backend server as it last described itself, with the position of that change in the
+ * store.
+ */
 export interface BackendRecord extends StorePosition {
   /**
-   * Incarnation of the server: a new one each time it restarts under the same name. All state
-   * about the server and its requests is kept by this id and dropped when the incarnation ends.
+   * Incarnation of the server: a new one each time it restarts under the same name. All
+   * state about the server and its requests is kept by this id and dropped when the
+   * incarnation ends.
    */
   readonly id: string
   /** Name of the server, the same for all its incarnations. */
--- a/src/types/messages.ts
+++ b/src/types/messages.ts
@@ -1,7 +1,9 @@
 /** The messages between entries and keepers. See docs/protocols/peers.md. */
 import type {ConfigChange, RequestClass, SnapshotRecord} from "./config.js"
 
-/** Compared by both sides when a link opens; raised when the meaning of a message changes. */
+/**
+ * Compared by both sides when a link opens; raised when the meaning of a message changes.
+ */
 export const PROTOCOL_VERSION = 1
 
 export interface Hello {
@@ -14,14 +16,19 @@
   readonly generation: number
 }
 
-/** A request that an entry has in progress on an engine, or whose cancel is unconfirmed. */
+/**
+ * A request that an entry has in progress on an engine, or whose cancel is unconfirmed.
+ */
 export interface PinnedRequest {
   readonly request: string
   readonly engine: string
   readonly model: string
 }
 
-/** An engine and adapter that an entry may use without a new grant while there is no owner. */
+/**
+ * An engine and adapter that an entry may use without a new grant while there is no
+ * owner.
+ */
 export interface HeldPair {
   readonly engine: string
   readonly model: string
@@ -64,8 +71,8 @@
 }
 
 /**
- * The entry has no request in progress with the adapter on the engine and does not use it again
- * without a new grant.
+ * The entry has no request in progress with the adapter on the engine and does not use it
+ * again without a new grant.
  */
 export interface Release {
   readonly t: "release"
@@ -95,7 +102,9 @@
   readonly state: "answered" | "unknown" | "not-run"
 }
 
-/** Heartbeat. Carries the generation, so that configuration also spreads between peers. */
+/**
+ * Heartbeat. Carries the generation, so that configuration also spreads between peers.
+ */
 export interface Ping {
   readonly t: "ping"
   readonly generation: number
@@ -163,7 +172,10 @@
   readonly state: KeyState | "other-body" | "no-record"
 }
 
-/** The changes after the requested generation, or a snapshot if the log no longer has them. */
+/**
+ * The changes after the requested generation, or a snapshot if the log no longer has
+ * them.
+ */
 export interface ConfigPage {
   readonly t: "config-page"
   readonly changes: readonly ConfigChange[]
--- a/src/types/organisations.ts
+++ b/src/types/organisations.ts
@@ -1,4 +1,7 @@
-/** Organisations in the routing configuration: keys of their callers, priority and usage limit. */
+/**
+ * Organisations in the routing configuration: keys of their callers, priority and usage
+ * limit.
+ */
 
 /** Limit of an organisation's usage in any time window, over all boxes together. */
 export interface UsageLimit {
--- a/src/types/rate-messages.ts
+++ b/src/types/rate-messages.ts
@@ -39,6 +39,8 @@
   readonly count: number
   /** Time until they may be sent. Undefined means now. */
   readonly inMs?: number
-  /** Time until more may be available. Undefined if all that was requested was granted. */
+  /**
+   * Time until more may be available. Undefined if all that was requested was granted.
+   */
   readonly roomInMs?: number
 }
--- a/src/types/records.ts
+++ b/src/types/records.ts
@@ -72,7 +72,10 @@
   id: z.string().min(1).max(300),
   /** Undefined if the record is to be retired. */
   value: z.unknown().optional(),
-  /** The generation that the operator saw; any other is a conflict. 0 means must not exist. */
+  /**
+   * The generation that the operator saw; any other is a conflict. 0 means must not
+   * exist.
+   */
   ifGeneration: z.number().int().nonnegative().optional()
 })
 
--- a/src/types/store-calls.ts
+++ b/src/types/store-calls.ts
@@ -1,11 +1,17 @@
-/** Callers of the key-value service and reasons for calls: closed lists, to bound the metrics. */
+/**
+ * Callers of the key-value service and reasons for calls: closed lists, to bound the
+ * metrics.
+ */
 
 export const CALLERS = [
   /** A box without a leader reads the leader's key. */
   "leader-look",
   /** A box that found no leader claims the leadership. */
   "leader-claim",
-  /** A leader claims its leadership again after the service was restored from an older backup. */
+  /**
+   * A leader claims its leadership again after the service was restored from an older
+   * backup.
+   */
   "lead-confirm",
   /** A leader renews its lease. */
   "lease-renew",
--- a/src/types/usage-messages.ts
+++ b/src/types/usage-messages.ts
@@ -22,7 +22,7 @@
 }
 
 /**
- * By organisation: an upper bound of the usage that still counts when the leadership ends and in
- * each second after that. An organisation without an entry has none.
+ * By organisation: an upper bound of the usage that still counts when the leadership ends
+ * and in each second after that. An organisation without an entry has none.
  */
 export type UsageOutlooks = Readonly<Record<string, readonly number[]>>
--- a/test/config.test.ts
+++ b/test/config.test.ts
@@ -1,4 +1,7 @@
-/** Accepted configuration changes are durable, take effect everywhere and are never reverted. */
+/**
+ * Accepted configuration changes are durable, take effect everywhere and are never
+ * reverted.
+ */
 import t from "tap"
 import {Calls} from "./support/calls.js"
 import {command, Deployment, getJson} from "./support/deployment.js"
--- a/test/entry.test.ts
+++ b/test/entry.test.ts
@@ -154,7 +154,10 @@
     : record
 )
 
-/** A running stream at an engine that resumes streams, and a function that ends its connection. */
+/**
+ * A running stream at an engine that resumes streams, and a function that ends its
+ * connection.
+ */
 function createStream() {
   const subject = createSubject(RESUMING)
   subject.owned(1)
--- a/test/explain.test.ts
+++ b/test/explain.test.ts
@@ -1,4 +1,6 @@
-/** Explains requests from logs alone, with the real programs on the simulated platform. */
+/**
+ * Explains requests from logs alone, with the real programs on the simulated platform.
+ */
 import {mkdtempSync, writeFileSync} from "node:fs"
 import {tmpdir} from "node:os"
 import {join} from "node:path"
