--- a/src/core/counted-usage.ts
+++ b/src/core/counted-usage.ts
@@ -10,39 +10,37 @@
 
 export class CountedUsage {
   /** Amounts by the tick of their expiry. */
-  private readonly ends_ = new Map<number, number>()
+  private readonly amounts_ = new Map<number, number>()
 
   add(amount: number, endsAt: number): void {
     const tick = Math.ceil(endsAt / TICK_MS)
-    this.ends_.set(tick, (this.ends_.get(tick) ?? 0) + amount)
+    this.amounts_.set(tick, (this.amounts_.get(tick) ?? 0) + amount)
   }
 
   /** Removes an amount that was added with this expiry. */
   remove(amount: number, endsAt: number): void {
     const tick = Math.ceil(endsAt / TICK_MS)
-    const left = (this.ends_.get(tick) ?? 0) - amount
-    if (left > 0) this.ends_.set(tick, left)
-    else this.ends_.delete(tick)
+    const left = (this.amounts_.get(tick) ?? 0) - amount
+    if (left > 0) this.amounts_.set(tick, left)
+    else this.amounts_.delete(tick)
   }
 
   /** Returns the usage that counts at this time. */
   total(now: number): number {
     let sum = 0
-    for (const [tick, amount] of this.ends_) {
+    for (const [tick, amount] of this.amounts_) {
       if (tick * TICK_MS > now) sum += amount
-      else this.ends_.delete(tick)
+      else this.amounts_.delete(tick)
     }
     return sum
   }
 
-  /**
-   * Returns the usage that counts now, one step later, and so on, in descending order.
-   */
+  /** Returns the usage that counts now, one step later, and so on; it never increases. */
   outlook(now: number, steps: number): number[] {
     return Array.from({length: steps}, (_, step) => {
       let sum = 0
       const at = now + step * STEP_MS
-      for (const [tick, amount] of this.ends_) if (tick * TICK_MS > at) sum += amount
+      for (const [tick, amount] of this.amounts_) if (tick * TICK_MS > at) sum += amount
       return sum
     })
   }
@@ -50,8 +48,8 @@
   /** Returns the time until at most `most` counts, if nothing is added. */
   timeUntil(most: number, now: number): number {
     let left = this.total(now)
-    const ends = [...this.ends_].sort(([a], [b]) => a - b)
-    for (const [tick, amount] of ends) {
+    const sorted = [...this.amounts_].sort(([a], [b]) => a - b)
+    for (const [tick, amount] of sorted) {
       if (left <= most) break
       left -= amount
       if (left <= most) return tick * TICK_MS - now
--- a/src/core/crash-watch.ts
+++ b/src/core/crash-watch.ts
@@ -4,8 +4,8 @@
 const CLOSED_MS = 1_000
 
 /**
- * The same after a complete answer: a server may crash right after it, and the crash may
- * be noticed a little later.
+ * The same limit after a complete answer. A server may crash right after it, and the
+ * crash may be noticed a little later.
  */
 const ANSWERED_MS = 300
 
--- a/src/core/prefix-memory.ts
+++ b/src/core/prefix-memory.ts
@@ -5,7 +5,7 @@
  * the route. If uncached prefixes are counted as cached, busy engines look idle.
  */
 
-/** Half-life of the weight of a request. Engines keep prefixes for long. */
+/** Half-life of the weight of a request. Engines keep prefixes for a long time. */
 const HALF_LIFE_MS = 10_000
 
 /** Limit on remembered adapters; the least recently requested are removed. */
--- a/src/core/rate-windows.ts
+++ b/src/core/rate-windows.ts
@@ -83,8 +83,8 @@
  * The part of the slack that the leader grants on request, one retry at a time.
  *
  * It serves callers that are spread unevenly over many boxes. With 140 callers, 195 boxes
- * and 19% of sends refused, 9.4% of the requests were refused while boxes had only their own
- * parts of the budget, although two thirds of it were unused.
+ * and 19% of sends refused, 9.4% of the requests were refused while boxes had only their
+ * own parts of the budget, although two thirds of it were unused.
  */
 export class RetryPool {
   private readonly grants_ = new Map<string, SlidingCount>()
--- a/src/core/survivors.ts
+++ b/src/core/survivors.ts
@@ -1,10 +1,10 @@
 /**
- * Requests that are cleared of crashing servers: a backend server answered them
- * completely and kept running. Since a server may crash right after the last byte of an
- * answer, the request is cleared only by a later sign of life of the server.
+ * Requests that crash no server: a backend server answered them completely and kept
+ * running. Since a server may crash right after the last byte of an answer, the request
+ * is cleared only once the server is known to run later.
  */
 
-/** A sign of life clears a request if it comes this long after the answer. */
+/** The server must be known to run this long after its answer. */
 const SURVIVED_MS = 500
 
 /** Limits on remembered requests and incarnations of servers; the oldest are removed. */
@@ -12,12 +12,12 @@
 const MAX_INCARNATIONS = 2_000
 
 /**
- * An answer without a later sign of life of its server is replaced by a newer one after
- * this time.
+ * An answer whose server is not known to have kept running is replaced by a newer one
+ * after this time.
  */
 const UNCONFIRMED_MS = 2_000
 
-/** First complete answer to a request that may clear it. */
+/** First complete answer to a request, which may clear the request. */
 interface Answered {
   readonly incarnation: string
   readonly at: number
@@ -28,12 +28,12 @@
 
 export class Survivors {
   private readonly answered_ = new Map<string, Answered>()
-  /** Last sign of life of each incarnation of a server. */
-  private readonly lastSignAt_ = new Map<string, number>()
+  /** When each incarnation of a server was last known to run. */
+  private readonly lastAliveAt_ = new Map<string, number>()
 
   /** Records that the server answered or accepted a connection. */
   noteHeard(incarnation: string, now: number): void {
-    putNewest(this.lastSignAt_, incarnation, now, MAX_INCARNATIONS)
+    putNewest(this.lastAliveAt_, incarnation, now, MAX_INCARNATIONS)
   }
 
   /** Records a complete answer to the request. */
@@ -51,7 +51,7 @@
     if (!answered) return false
     const {incarnation, at} = answered
     answered.isCleared ||=
-      (this.lastSignAt_.get(incarnation) ?? -Infinity) - at >= SURVIVED_MS
+      (this.lastAliveAt_.get(incarnation) ?? -Infinity) - at >= SURVIVED_MS
     return answered.isCleared
   }
 
@@ -71,7 +71,7 @@
    * that are not cleared.
    */
   takeCrash(incarnation: string, now: number): string[] {
-    this.lastSignAt_.delete(incarnation)
+    this.lastAliveAt_.delete(incarnation)
     const unconfirmed = [...this.answered_].filter(
       ([fingerprint, answered]) =>
         answered.incarnation === incarnation && !this.has(fingerprint)
--- a/src/core/usage-ledger.ts
+++ b/src/core/usage-ledger.ts
@@ -240,22 +240,22 @@
     if (unrecorded > 0) counted.add(unrecorded, now + span)
   }
 
-  private answerRequests(asks: readonly PendingRequest[], now: number): void {
-    const grants = new Map<string, {ask: PendingRequest; grants: AllowanceGrant[]}>()
-    for (const ask of asks) {
-      const decision = this.decide(ask.entry, now)
+  private answerRequests(requests: readonly PendingRequest[], now: number): void {
+    const grants = new Map<string, {request: PendingRequest; grants: AllowanceGrant[]}>()
+    for (const request of requests) {
+      const decision = this.decide(request.entry, now)
       if (!decision) {
-        this.pending_.push(ask)
+        this.pending_.push(request)
         continue
       }
-      if (decision.amount > 0) this.grant(ask.box, decision, now)
-      const key = `${ask.box} ${ask.ask}`
-      const answer = grants.get(key) ?? {ask, grants: []}
+      if (decision.amount > 0) this.grant(request.box, decision, now)
+      const key = `${request.box} ${request.ask}`
+      const answer = grants.get(key) ?? {request, grants: []}
       answer.grants.push(decision)
       grants.set(key, answer)
     }
-    for (const {ask, grants: given} of grants.values()) {
-      this.emit_({type: "allow", box: ask.box, ask: ask.ask, grants: given})
+    for (const {request, grants: given} of grants.values()) {
+      this.emit_({type: "allow", box: request.box, ask: request.ask, grants: given})
     }
   }
 
--- a/src/core/usage-stock.ts
+++ b/src/core/usage-stock.ts
@@ -6,7 +6,8 @@
 import {ALLOWANCE_MS} from "./usage-limits.js"
 
 /**
- * The pool is filled for the demand of this time, and again when half of that is left.
+ * The pool is filled for the demand of this time, and refilled when less than half is
+ * left.
  */
 const POOL_MS = 2_000
 
--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -1,4 +1,4 @@
-/** Requests that crash servers: they are quarantined soon, and other requests are served. */
+/** Requests that crash servers are quarantined soon, and other requests are served. */
 import t from "tap"
 import {CrashList, TRIALS_MS} from "../src/core/crash-list.js"
 import {
@@ -24,7 +24,7 @@
 /** Most sends of a guilty request later than 3 s after its third crash. */
 const MOST_LATE = 3
 
-/** Share of the other requests that may be refused while servers crash one after another. */
+/** Share of the other requests that may be refused while servers crash in turn. */
 const REFUSED_SHARE = 0.002
 
 function describe(result: CrashingResult): string {
--- a/test/server-rates-core.test.ts
+++ b/test/server-rates-core.test.ts
@@ -1,4 +1,4 @@
-/** Advertised rate limits: which one applies, and which sends the leader and a box allow. */
+/** Advertised rate limits: which one applies, and which sends are allowed by it. */
 import t from "tap"
 import {RatePacer} from "../src/core/rate-pacer.js"
 import {RecentSends} from "../src/core/recent-sends.js"
--- a/test/store-calls.test.ts
+++ b/test/store-calls.test.ts
@@ -64,8 +64,8 @@
   }
 }
 
-// A timeout that only a combined signal refers to may be garbage-collected, and then never
-// ends its call.
+// A timeout that only a combined signal refers to may be garbage-collected, and then
+// never ends its call.
 t.test("a watch times out even if garbage is collected meanwhile", async t => {
   const {store, kv} = await connect()
   t.teardown(() => store.close())
