--- a/src/core/cell-evict.ts
+++ b/src/core/cell-evict.ts
@@ -141,7 +141,7 @@
 
 /**
  * Whether evictions on the engine must wait because an entry that has sent no inventory
- * may be using it. Orders the engine to cancel the requests of silent entries first.
+ * may be using it. Also orders cancels for silent entries.
  */
 function isEvictionBlocked(
   draft: CellDraft,
--- a/src/core/keeper-shares.ts
+++ b/src/core/keeper-shares.ts
@@ -22,7 +22,7 @@
 import {createRegister} from "./register.js"
 import {withEntry, withoutEntry} from "../utils/collections.js"
 
-/** Claims the ownerless shares that are this keeper's turn to claim. */
+/** Claims the ownerless shares that this keeper should own now. */
 export function claimShares(draft: KeeperDraft): void {
   if (draft.state.stopping) return
   // An order from an earlier term of this keeper may still arrive at its engine.
--- a/src/core/keeper-state.ts
+++ b/src/core/keeper-state.ts
@@ -120,7 +120,7 @@
   readonly effects: readonly KeeperEffect[]
 }
 
-/** Prefixes of share names. A share is a unit of ownership: a cell, a register shard. */
+/** Prefixes of share names. A share (cell or register shard) is a unit of ownership. */
 export const CELL_PREFIX = "cell:"
 export const REGISTER_PREFIX = "once:"
 
--- a/src/core/policy.ts
+++ b/src/core/policy.ts
@@ -51,10 +51,7 @@
 /** A policy program. Its functions are called synchronously and must not block. */
 export interface Policy {
   readonly name: string
-  /**
-   * Ranks engines that have the adapter, best first. An omitted engine is used only if
-   * all are omitted.
-   */
+  /** Ranks engines that have the adapter, best first. Omitted ones are a fallback. */
   rankServing(engines: readonly EngineView[], request: RequestView): readonly string[]
   /** Ranks engines to load the adapter on, best first. An omitted engine is not used. */
   rankLoading(engines: readonly EngineView[], request: RequestView): readonly string[]
--- a/src/core/register.ts
+++ b/src/core/register.ts
@@ -35,8 +35,8 @@
   readonly ready: boolean
   readonly keys: ReadonlyMap<string, KeyRecord>
   /**
-   * Messages that arrived before the log was read, in order: a settle may follow its
-   * reserve.
+   * Messages deferred until the log is read, in order of arrival, as a settle may follow
+   * its reserve.
    */
   readonly early: readonly (DeferredReserve | Settle)[]
   /** Lines not yet written, oldest first. */
