--- a/src/core/placement-choose.ts
+++ b/src/core/placement-choose.ts
@@ -109,10 +109,10 @@
   limits: EngineLimits,
   adapter: string
 ): boolean {
-  return countTaken(engine) < limits.maxAdapters && fitsInMemory(engine, limits, adapter)
+  return countTaken(engine) < limits.maxAdapters && fitsMemory(engine, limits, adapter)
 }
 
-function fitsInMemory(
+function fitsMemory(
   engine: FleetEngine,
   limits: EngineLimits,
   adapter: string
