--- a/src/core/placement-choose.ts
+++ b/src/core/placement-choose.ts
@@ -109,14 +109,10 @@
   limits: EngineLimits,
   adapter: string
 ): boolean {
-  return countTaken(engine) < limits.maxAdapters && fitsInMemory(engine, limits, adapter)
+  return countTaken(engine) < limits.maxAdapters && fitsMemory(engine, limits, adapter)
 }
 
-function fitsInMemory(
-  engine: FleetEngine,
-  limits: EngineLimits,
-  adapter: string
-): boolean {
+function fitsMemory(engine: FleetEngine, limits: EngineLimits, adapter: string): boolean {
   const modelsByName = new Map(limits.models.map(model => [model.name, model]))
   let totalMb = modelsByName.get(splitAdapterKey(adapter).model)?.adapterMb ?? 0
   for (const model of engine.models) totalMb += modelsByName.get(model)?.weightsMb ?? 0
