--- a/bench/capacity-steps.ts
+++ b/bench/capacity-steps.ts
@@ -25,7 +25,7 @@
 function makeKeeper(engines: number): KeeperState {
   const keeper = new OwnedKeeper(KEEPER_OPTIONS, makeConfig(64, engines))
   const models = ["base-a/adapter-0@1", "base-a/adapter-1@1"]
-  for (const effect of keeper.step({type: "tick", epoch: 0})) {
+  for (const effect of keeper.step({type: "tick", epochMs: 0})) {
     if (effect.type !== "order" || effect.order.order !== "list") continue
     const {cell, engine, fence, order} = effect
     const result = {ok: true, models} as const
@@ -69,7 +69,7 @@
   const points = [4, 8, 16, 32].map(engines => {
     const state = makeKeeper(engines)
     const value = timeEach(500, index => {
-      stepKeeper(state, {type: "tick", epoch: index}, 1_001, KEEPER_OPTIONS)
+      stepKeeper(state, {type: "tick", epochMs: index}, 1_001, KEEPER_OPTIONS)
     })
     return {size: engines, value}
   })
--- a/bench/owned-keeper.ts
+++ b/bench/owned-keeper.ts
@@ -19,7 +19,7 @@
     this.step({type: "config", config})
     this.step({type: "shares", shares: new Map(), keepers, entries: new Map()})
     this.step({type: "lease-renewed", sentAt: this.now})
-    for (const effect of this.step({type: "tick", epoch: 0})) {
+    for (const effect of this.step({type: "tick", epochMs: 0})) {
       if (effect.type !== "change-share") continue
       const result = {result: "done", revision: 1} as const
       this.step({type: "share-changed", change: effect.change, result})
--- a/bench/places-boxes.ts
+++ b/bench/places-boxes.ts
@@ -4,7 +4,12 @@
 import {type BoxServing, createBoxServing} from "../src/core/box-state.js"
 import {takeChanges, takeLoads, takePicture} from "../src/core/box-places.js"
 import {gatherMs} from "../src/core/placement-news.js"
-import type {EngineChange, FromLeader, Need, ToLeader} from "../src/types/box-messages.js"
+import type {
+  EngineDelta,
+  FromLeader,
+  WeightsRequest,
+  ToLeader
+} from "../src/types/box-messages.js"
 import {adapterKey} from "../src/types/fleet.js"
 import {type BenchLeader, MODEL, SERVICE_NAME} from "./places-leader.js"
 
@@ -90,7 +95,7 @@
   }
 
   /** Requests that waited go to the places they were told of, once these are ready. */
-  serveWaiting({engine, places}: EngineChange): void {
+  serveWaiting({engine, places}: EngineDelta): void {
     const {after, leader, wayMs} = this.options_
     for (const {adapter, readyInMs} of places) {
       const waiting = this.waiting_.get(adapter) ?? []
@@ -144,7 +149,7 @@
     this.options_.leader.takeNeed(`box-${box}`, need)
   }
 
-  private needFor(adapter: string): Need {
+  private needFor(adapter: string): WeightsRequest {
     return {
       request: this.asked_.toString(16).padStart(16, "0"),
       service: SERVICE_NAME,
@@ -174,7 +179,7 @@
     engine,
     places,
     gone = []
-  }: Omit<EngineChange, "gone"> & {gone?: readonly string[]}): void {
+  }: Omit<EngineDelta, "gone"> & {gone?: readonly string[]}): void {
     for (const {adapter} of places) {
       const holders = this.holders_.get(adapter) ?? new Set<string>()
       this.holders_.set(adapter, holders.add(engine))
--- a/bench/places-leader.ts
+++ b/bench/places-leader.ts
@@ -8,7 +8,7 @@
   type FleetOrder
 } from "../src/core/placement-state.js"
 import {dropNeed, takeEngines, takeNeed, takeUses} from "../src/core/placement-uses.js"
-import type {Need, UseChange} from "../src/types/box-messages.js"
+import type {WeightsRequest, EngineUseDelta} from "../src/types/box-messages.js"
 import type {FleetService} from "../src/types/fleet.js"
 
 export const MODEL = "base"
@@ -93,7 +93,7 @@
     this.loads = 0
   }
 
-  takeNeed(box: string, need: Need): void {
+  takeNeed(box: string, need: WeightsRequest): void {
     this.fleet.unplanned = true
     this.measure(() => takeNeed(this.fleet, box, need, this.options_.now()))
   }
@@ -102,7 +102,7 @@
     this.measure(() => dropNeed(this.fleet, box, request))
   }
 
-  takeUses(box: string, changes: readonly UseChange[]): void {
+  takeUses(box: string, changes: readonly EngineUseDelta[]): void {
     this.fleet.unplanned = true
     this.measure(() => takeUses(this.fleet, box, changes, this.options_.now()))
   }
--- a/bench/places-run.ts
+++ b/bench/places-run.ts
@@ -3,7 +3,7 @@
 import {build as buildHistogram} from "hdr-histogram-js"
 import {describeFleet, describeLoads} from "../src/core/placement-news.js"
 import type {FleetEffect, FleetEngine} from "../src/core/placement-state.js"
-import type {EngineChange, EngineNews, FromLeader} from "../src/types/box-messages.js"
+import type {EngineDelta, EngineSnapshot, FromLeader} from "../src/types/box-messages.js"
 import {BenchBoxes} from "./places-boxes.js"
 import {BenchLeader} from "./places-leader.js"
 import {Links} from "./places-links.js"
@@ -175,7 +175,7 @@
   }
 
   /** Boxes that wait are told where their weights will be. */
-  private answer(changes: readonly EngineChange[], boxes: number): void {
+  private answer(changes: readonly EngineDelta[], boxes: number): void {
     this.counts_.leaderMessages += boxes
     this.counts_.leaderBytes += boxes * this.pack({t: "places", changes}).length
   }
@@ -193,7 +193,7 @@
     if (message.t === "places") this.noteAges(message.changes, arrivals)
   }
 
-  private noteAges(changes: readonly EngineChange[], arrivals: readonly number[]): void {
+  private noteAges(changes: readonly EngineDelta[], arrivals: readonly number[]): void {
     const {orderedAt} = this.leader_
     for (const {engine, places, gone} of changes) {
       for (const adapter of [...places.map(place => place.adapter), ...gone]) {
@@ -206,7 +206,7 @@
     }
   }
 
-  private countPictures(changes: readonly EngineChange[]): number {
+  private countPictures(changes: readonly EngineDelta[]): number {
     const ids = new Set(changes.map(({engine}) => engine))
     const engines = [...ids].flatMap(id => {
       const engine = this.leader_.fleet.engines.get(id)
@@ -223,7 +223,7 @@
   }
 }
 
-function describeEngine({id, models, places}: FleetEngine): EngineNews {
+function describeEngine({id, models, places}: FleetEngine): EngineSnapshot {
   const held = [...places].map(([adapter, {version}]) => ({
     adapter,
     version,
--- a/bench/policy-load.ts
+++ b/bench/policy-load.ts
@@ -159,7 +159,7 @@
   private tick(): void {
     const {now} = this.keeper_
     this.perform(this.keeper_.step({type: "lease-renewed", sentAt: now}))
-    this.perform(this.keeper_.step({type: "tick", epoch: now}))
+    this.perform(this.keeper_.step({type: "tick", epochMs: now}))
     for (const running of this.running_.values()) {
       if (running.size === 0 || now < WARM_MS) continue
       this.busyMs_ += TICK_MS
--- a/src/adapters/box-hub.ts
+++ b/src/adapters/box-hub.ts
@@ -9,15 +9,15 @@
 import type {RoutedState} from "../core/serving-fleet.js"
 import type {RoutedEffect, RoutedEvent} from "../core/serving-events.js"
 import type {
-  AskNews,
+  StoreSnapshotRequest,
   FromLeader,
   LeaderRecord,
-  StoreNews,
+  StoreSnapshot,
   ToLeader
 } from "../types/box-messages.js"
 import type {BackendRecord} from "../types/fleet.js"
-import type {RateNews, SendGrant} from "../types/rate-messages.js"
-import type {CrashChanges} from "../types/crash-messages.js"
+import type {RateReport, SendAllowanceGrant} from "../types/rate-messages.js"
+import type {CrashUpdate} from "../types/crash-messages.js"
 import type {AllowanceGrant} from "../types/usage-messages.js"
 import {clockNow} from "./clock.js"
 import {BackendNews, withoutModels} from "./backend-news.js"
@@ -108,17 +108,17 @@
   }
 
   /** Tells all boxes of requests that crash servers. */
-  tellCrashes(changes: CrashChanges): void {
+  tellCrashes(changes: CrashUpdate): void {
     this.links_.broadcast({t: "crashes", changes, whole: false})
   }
 
   /** Tells all boxes what servers take from all of them together. */
-  tellRates(news: readonly RateNews[]): void {
+  tellRates(news: readonly RateReport[]): void {
     this.links_.broadcast({t: "rates", news})
   }
 
   /** Answers the asks of a box for sends to servers that named rates. */
-  grantSends(box: string, grants: readonly SendGrant[]): void {
+  grantSends(box: string, grants: readonly SendAllowanceGrant[]): void {
     this.links_.send(box, {t: "send-grants", grants})
   }
 
@@ -216,7 +216,10 @@
   }
 
   /** What a box is told that has no other way to learn; undefined: this one cannot read the store either. */
-  private async newsFor({configVersion, ageMs}: AskNews): Promise<StoreNews | undefined> {
+  private async newsFor({
+    configVersion,
+    ageMs
+  }: StoreSnapshotRequest): Promise<StoreSnapshot | undefined> {
     const {news, state, leader, eras, log} = this.options_
     try {
       await news.refresh(ageMs)
@@ -337,7 +340,7 @@
   return [...backends.known.values()].map(({record}) => withoutModels(record))
 }
 
-function listRates({rates}: BoxServing, now: number): RateNews[] {
+function listRates({rates}: BoxServing, now: number): RateReport[] {
   return rates.list().flatMap(server => rates.tell(server, now) ?? [])
 }
 
--- a/src/adapters/box-links.ts
+++ b/src/adapters/box-links.ts
@@ -1,11 +1,11 @@
 /** Links between boxes and their leader: `ws` carrying `msgpackr`, quiet ones cut. */
 import {WebSocket, WebSocketServer} from "ws"
-import {readToLeader} from "../types/box-frames.js"
+import {parseToLeader} from "../types/box-frames.js"
 import type {
-  AskNews,
+  StoreSnapshotRequest,
   BoxMessage,
   FromLeader,
-  StoreNews,
+  StoreSnapshot,
   ToLeader
 } from "../types/box-messages.js"
 import {splitAddress} from "../utils/address.js"
@@ -79,7 +79,7 @@
   /** Asked for each box that wants to follow: whether this box leads. */
   readonly accepts: () => boolean
   /** A box that follows nobody asks for news; undefined: there is none. */
-  readonly asked: (ask: AskNews) => Promise<FromLeader | undefined>
+  readonly asked: (ask: StoreSnapshotRequest) => Promise<FromLeader | undefined>
   readonly up: (box: string, configVersion: number, follower: Follower) => void
   readonly down: (box: string) => void
   readonly message: (box: string, message: ToLeader) => void
@@ -187,7 +187,7 @@
       }
       if (box !== undefined) this.events_.message(box, message)
     }
-    const follower: Follower = new BoxLink(socket, readToLeader, take, () => {
+    const follower: Follower = new BoxLink(socket, parseToLeader, take, () => {
       clearTimeout(firstMessageTimer)
       if (box === undefined || this.followers_.get(box) !== follower) return
       this.followers_.delete(box)
@@ -209,7 +209,7 @@
     this.events_.up(box, configVersion, follower)
   }
 
-  private async answer(follower: Follower, ask: AskNews): Promise<void> {
+  private async answer(follower: Follower, ask: StoreSnapshotRequest): Promise<void> {
     const news = await this.events_.asked(ask)
     if (news) follower.send(news)
     else follower.close()
@@ -219,9 +219,9 @@
 /** Asks a box that need not lead for its news; undefined: it has none, or does not answer in time. */
 export function askNews(
   address: string,
-  ask: AskNews,
+  ask: StoreSnapshotRequest,
   limitMs: number
-): Promise<StoreNews | undefined> {
+): Promise<StoreSnapshot | undefined> {
   return new Promise(resolve => {
     const socket = openSocket(address)
     const link = new BoxLink<ToLeader, FromLeader>(
--- a/src/adapters/config-writer.ts
+++ b/src/adapters/config-writer.ts
@@ -1,6 +1,6 @@
 /** Accepts changes: a change is accepted when its log entry is durable, and not before. */
 import {randomUUID} from "node:crypto"
-import {checkChange, type ChangeRules, type CheckedChange} from "../core/changes.js"
+import {checkChange, type ChangeContext, type CheckedChange} from "../core/changes.js"
 import {KvUnavailable, SedgeError} from "../errors.js"
 import type {KvStore} from "../ports/ports.js"
 import type {ConfigChange} from "../types/config.js"
@@ -46,7 +46,7 @@
   async accept(
     proposal: Proposal,
     operator: string,
-    rules: Omit<ChangeRules, "seen">,
+    rules: Omit<ChangeContext, "seen">,
     dryRun: boolean
   ): Promise<AcceptedChange> {
     const operation = proposal.operation ?? randomUUID()
--- a/src/adapters/crash-store.ts
+++ b/src/adapters/crash-store.ts
@@ -5,7 +5,7 @@
 import * as z from "zod"
 import {KvUnavailable, KvUnknown} from "../errors.js"
 import type {KvEntry, KvStore} from "../ports/ports.js"
-import type {CrashNews} from "../types/crash-messages.js"
+import type {CrashReport} from "../types/crash-messages.js"
 import type {StoreCaller} from "../types/store-calls.js"
 import {pause} from "../utils/promises.js"
 import type {Log} from "./log.js"
@@ -30,9 +30,9 @@
   readonly key: string
   /** Whether this box leads for sure. */
   readonly leads: () => boolean
-  readonly list: () => readonly CrashNews[]
+  readonly list: () => readonly CrashReport[]
   /** What an earlier leader stored. */
-  readonly learned: (records: readonly CrashNews[]) => void
+  readonly learned: (records: readonly CrashReport[]) => void
   readonly log: Log
 }
 
--- a/src/adapters/entry-process.ts
+++ b/src/adapters/entry-process.ts
@@ -217,7 +217,13 @@
   }
 
   private describe(): object {
-    const {links, requests, held, endings, fences} = this.loop_.state()
+    const {
+      links,
+      requests,
+      heldGrants: held,
+      pendingCancels: endings,
+      fences
+    } = this.loop_.state()
     return {
       generation: this.sync_.config.generation,
       links: [...links].map(([keeper, link]) => ({
--- a/src/adapters/era-source.ts
+++ b/src/adapters/era-source.ts
@@ -1,7 +1,7 @@
 /** The era of the key-value service, as answers and other boxes tell it; listeners hear before an answer is used. */
 import {HIGHEST_ERA, type KnownEra, takeEra} from "../core/eras.js"
 import {KvUnknown} from "../errors.js"
-import type {ToldEra} from "../types/box-messages.js"
+import type {ReportedEra} from "../types/box-messages.js"
 import {clockNow} from "./clock.js"
 import type {Log} from "./log.js"
 
@@ -29,7 +29,7 @@
   }
 
   /** What other boxes are told; undefined: the service tells no era. */
-  tell(now: number): ToldEra | undefined {
+  tell(now: number): ReportedEra | undefined {
     if (!this.known_) return undefined
     const {era, by, risen} = this.known_
     return {era, ageMs: now - by, risen}
@@ -64,7 +64,7 @@
   }
 
   /** Another box told. */
-  hear({era, ageMs, risen}: ToldEra): void {
+  hear({era, ageMs, risen}: ReportedEra): void {
     this.take({era, by: clockNow() - ageMs, risen})
   }
 
--- a/src/adapters/keeper-process.ts
+++ b/src/adapters/keeper-process.ts
@@ -69,7 +69,7 @@
       initial: createKeeper(this.options_),
       step: (state, event, now) => stepKeeper(state, event, now, this.options_),
       perform: effect => this.perform(effect),
-      makeTick: () => ({type: "tick", epoch: Date.now()}),
+      makeTick: () => ({type: "tick", epochMs: Date.now()}),
       tickMs: () => TICK_MS,
       now: clockNow
     })
@@ -156,7 +156,7 @@
         policyFaults: cell.policyFaults,
         waiting: cell.waiting.size,
         running: cell.running.size,
-        awaited: [...cell.awaited],
+        awaited: [...cell.awaitedInventories],
         engines: [...cell.engines].map(([id, engine]) => ({
           id,
           listed: engine.listed,
@@ -164,7 +164,7 @@
           foreign: engine.foreign,
           prefixes: engine.prefixes.size,
           models: Object.fromEntries(
-            [...engine.pairs].map(([m, pair]) => [m, pair.phase])
+            [...engine.adapters].map(([m, pair]) => [m, pair.phase])
           )
         }))
       }))
--- a/src/adapters/news-help.ts
+++ b/src/adapters/news-help.ts
@@ -2,7 +2,7 @@
  * Asks other boxes to read the key-value service for this one, which it turns away or does not answer.
  * A box that the service turns away cannot even find out who leads.
  */
-import type {AskNews, StoreNews} from "../types/box-messages.js"
+import type {StoreSnapshotRequest, StoreSnapshot} from "../types/box-messages.js"
 import {firstOf} from "../utils/promises.js"
 import {askNews} from "./box-links.js"
 
@@ -38,7 +38,7 @@
   }
 
   /** The news of the first box that can read the service; undefined: none can. */
-  async ask(ask: AskNews): Promise<StoreNews | undefined> {
+  async ask(ask: StoreSnapshotRequest): Promise<StoreSnapshot | undefined> {
     const asked = this.draw().map(async address => {
       const news = await this.ask_(address, ask, ANSWER_MS)
       if (!news) throw new Error(`${address} has no news`)
--- a/src/adapters/news-source.ts
+++ b/src/adapters/news-source.ts
@@ -19,7 +19,11 @@
 import {KvUnavailable} from "../errors.js"
 import type {FleetConfig} from "../types/fleet.js"
 import type {KvChange} from "../ports/ports.js"
-import type {AskNews, FromLeader, StoreNews} from "../types/box-messages.js"
+import type {
+  StoreSnapshotRequest,
+  FromLeader,
+  StoreSnapshot
+} from "../types/box-messages.js"
 import {clockNow} from "./clock.js"
 import {EntryReader} from "./entry-reader.js"
 import {type LeaderBackends, toBackendEvents, ToldBackends} from "./leader-backends.js"
@@ -40,7 +44,7 @@
   /** Asks the leader for all it knows. */
   readonly askAll: () => void
   /** Asks other boxes to read the store; undefined: none of them could. */
-  readonly askBoxes: (ask: AskNews) => Promise<StoreNews | undefined>
+  readonly askBoxes: (ask: StoreSnapshotRequest) => Promise<StoreSnapshot | undefined>
   readonly eras: StoreEras
   readonly settled: SettledEra
 }
--- a/src/adapters/routed-box.ts
+++ b/src/adapters/routed-box.ts
@@ -19,7 +19,11 @@
 import {KvUnavailable} from "../errors.js"
 import type {Dialect, FleetRecords} from "../ports/fleet-ports.js"
 import type {KvStore} from "../ports/ports.js"
-import type {AskNews, LeaderRecord, StoreNews} from "../types/box-messages.js"
+import type {
+  StoreSnapshotRequest,
+  LeaderRecord,
+  StoreSnapshot
+} from "../types/box-messages.js"
 import type {BackendRecord} from "../types/fleet.js"
 import type {RoutedSettings} from "../types/routed-settings.js"
 import {createRandom, uniformFloat64} from "../utils/random.js"
@@ -446,7 +450,7 @@
   }
 
   /** Has another box read the store, and learns from it who leads. */
-  private async askBoxes(ask: AskNews): Promise<StoreNews | undefined> {
+  private async askBoxes(ask: StoreSnapshotRequest): Promise<StoreSnapshot | undefined> {
     const news = await this.help_.ask(ask)
     if (news?.leader && news.leader.incarnation !== this.incarnation_ && !this.leading) {
       this.session_.follow(news.leader)
--- a/src/adapters/usage-store.ts
+++ b/src/adapters/usage-store.ts
@@ -4,7 +4,7 @@
 import {KvUnavailable, KvUnknown} from "../errors.js"
 import type {KvEntry, KvStore} from "../ports/ports.js"
 import type {StoreCaller} from "../types/store-calls.js"
-import type {UsageOutlooks} from "../types/usage-messages.js"
+import type {UsageProjections} from "../types/usage-messages.js"
 import type {StoreEras} from "./era-source.js"
 import {pause} from "../utils/promises.js"
 import type {Log} from "./log.js"
@@ -21,7 +21,7 @@
 
 /** What was read, where an answer came; `outlooks` is undefined where it may be older than what was given. */
 interface ReadUsage {
-  readonly outlooks: UsageOutlooks | undefined
+  readonly outlooks: UsageProjections | undefined
 }
 
 type Place = Pick<KvEntry, "revision" | "era">
@@ -61,7 +61,7 @@
   }
 
   /** Writes in place of what this leader read or wrote last: no later leader's is overwritten. */
-  save(save: number, value: UsageOutlooks): Promise<void> {
+  save(save: number, value: UsageProjections): Promise<void> {
     this.saving_ = this.saving_.then(() => this.saveNow(save, value))
     return this.saving_
   }
@@ -71,7 +71,7 @@
     await Promise.race([this.saving_, pause(limitMs)])
   }
 
-  private async saveNow(save: number, value: UsageOutlooks): Promise<void> {
+  private async saveNow(save: number, value: UsageProjections): Promise<void> {
     const {fence, post} = this.options_
     const lead = fence()
     const {era} = this.options_.eras
--- a/src/adapters/use-counts.ts
+++ b/src/adapters/use-counts.ts
@@ -1,11 +1,11 @@
 /** What a box has yet to tell its leader of requests begun and ended, summed by engine and adapter. */
-import type {UseChange} from "../types/box-messages.js"
+import type {EngineUseDelta} from "../types/box-messages.js"
 
 export class UseCounts {
-  private counts_ = new Map<string, UseChange>()
+  private counts_ = new Map<string, EngineUseDelta>()
 
   /** Adds to the counts; true: they were empty. */
-  add(change: UseChange): boolean {
+  add(change: EngineUseDelta): boolean {
     const {engine, adapter} = change
     const key = `${engine} ${adapter ?? ""}`
     const known = this.counts_.get(key)
@@ -24,7 +24,7 @@
   }
 
   /** Takes all counts out. */
-  drain(): UseChange[] {
+  drain(): EngineUseDelta[] {
     const all = [...this.counts_.values()]
     this.counts_ = new Map()
     return all
--- a/src/bin/sedgectl.ts
+++ b/src/bin/sedgectl.ts
@@ -6,9 +6,9 @@
 import {VERSION} from "../version.js"
 import {readLogs} from "../adapters/log-reader.js"
 import {explainRequest} from "../core/explain.js"
-import {tellLosses} from "../core/losses.js"
+import {countLosses} from "../core/losses.js"
 import {tellStoreCalls} from "../core/store-calls.js"
-import {tellTimeline} from "../core/timeline.js"
+import {buildTimeline} from "../core/timeline.js"
 import {
   formatDifference,
   formatExplanation,
@@ -231,7 +231,7 @@
     default: 0
   })
   .action((flags: Flags & {readonly logs: string; readonly span: number}) => {
-    const rows = tellLosses(readLogs(flags.logs), flags.span)
+    const rows = countLosses(readLogs(flags.logs), flags.span)
     print(flags, {rows}, () => formatLosses(rows))
   })
 cli
@@ -255,7 +255,7 @@
     default: "-"
   })
   .action((flags: Flags & {readonly logs: string}) => {
-    const entries = tellTimeline(readLogs(flags.logs))
+    const entries = buildTimeline(readLogs(flags.logs))
     print(flags, {entries}, () => formatTimeline(entries))
   })
 cli.help()
--- a/src/core/box-crashes.ts
+++ b/src/core/box-crashes.ts
@@ -2,7 +2,7 @@
  * Detects crashes of backend servers from broken attempts, finds the requests that may
  * have caused them, and quarantines requests that crash servers repeatedly.
  */
-import type {CrashChanges, CrashNews} from "../types/crash-messages.js"
+import type {CrashUpdate, CrashReport} from "../types/crash-messages.js"
 import type {BackendRecord} from "../types/fleet.js"
 import {giveUp} from "./box-ends.js"
 import {type Attempt, type BoxRequest, type BoxServing, note} from "./box-state.js"
@@ -102,7 +102,7 @@
 /** Applies crash changes from other boxes or the store. */
 export function takeCrashes(
   box: BoxServing,
-  {records, cleared}: CrashChanges,
+  {records, cleared}: CrashUpdate,
   source: CrashSource,
   now: number
 ): void {
@@ -186,7 +186,7 @@
   reportChanges(box, {records: box.crashes.tell(now, added), cleared: []})
 }
 
-function mergeRecord(box: BoxServing, record: CrashNews, now: number): boolean {
+function mergeRecord(box: BoxServing, record: CrashReport, now: number): boolean {
   return logIfQuarantined(box, record.fingerprint, () => box.crashes.merge(record, now))
 }
 
@@ -213,7 +213,7 @@
   return hasChanged
 }
 
-function reportChanges(box: BoxServing, changes: CrashChanges): void {
+function reportChanges(box: BoxServing, changes: CrashUpdate): void {
   box.effects.push({type: "crashes", changes})
 }
 
--- a/src/core/box-ends.ts
+++ b/src/core/box-ends.ts
@@ -1,5 +1,5 @@
 /** Ends requests and attempts, and reports that to the caller and the leader. */
-import type {UseChange} from "../types/box-messages.js"
+import type {EngineUseDelta} from "../types/box-messages.js"
 import {adapterKey} from "../types/fleet.js"
 import {giveBackCharge} from "./box-charges.js"
 import {type BoxRequest, type BoxServing, type EndReason, note} from "./box-state.js"
@@ -102,7 +102,7 @@
 export function tellUse(
   box: BoxServing,
   {arrival: {weights}}: BoxRequest,
-  use: UseChange
+  use: EngineUseDelta
 ): void {
   if (!weights) return
   const {model, adapter} = weights
--- a/src/core/box-pacing.ts
+++ b/src/core/box-pacing.ts
@@ -3,7 +3,7 @@
  * allowance. They wait briefly for one, then go to other servers, or are refused if there
  * is no room in time.
  */
-import type {SendAsk} from "../types/rate-messages.js"
+import type {SendAllowanceRequest} from "../types/rate-messages.js"
 import {type BoxRequest, type BoxServing, note} from "./box-state.js"
 import {runningMs} from "./suspensions.js"
 import type {SendNeed} from "./send-allowances.js"
@@ -115,7 +115,7 @@
   server: string,
   need: SendNeed | undefined,
   now: number
-): SendAsk[] {
+): SendAllowanceRequest[] {
   const {allowances, rates} = box
   if (!box.led || allowances.isSilent(server, now)) {
     if (need && !allowances.holds(server, now)) useFallbackShare(box, server, now)
--- a/src/core/box-places.ts
+++ b/src/core/box-places.ts
@@ -4,7 +4,7 @@
  * outlasts the leader: without one, boxes go on sending requests to the engines that hold
  * the adapters.
  */
-import type {EngineChange, EngineLoads, EngineNews} from "../types/box-messages.js"
+import type {EngineDelta, PrefillBacklog, EngineSnapshot} from "../types/box-messages.js"
 import {adapterKey, type BackendRecord} from "../types/fleet.js"
 import type {BoxServing} from "./box-state.js"
 import {toTokens} from "./placement-news.js"
@@ -56,7 +56,7 @@
 /** Applies a full snapshot of engines, which replaces their views. */
 export function takePicture(
   box: BoxServing,
-  engines: readonly EngineNews[],
+  engines: readonly EngineSnapshot[],
   now: number
 ): void {
   for (const {engine, models, places} of engines) {
@@ -72,7 +72,7 @@
 /** Applies deltas of engines. */
 export function takeChanges(
   box: BoxServing,
-  changes: readonly EngineChange[],
+  changes: readonly EngineDelta[],
   now: number
 ): void {
   for (const {engine, models, places, gone} of changes) {
@@ -94,7 +94,7 @@
 /** Applies the reported load of each engine. */
 export function takeLoads(
   box: BoxServing,
-  {order, hundreds, tokensPerMs}: EngineLoads
+  {order, hundreds, tokensPerMs}: PrefillBacklog
 ): void {
   if (order) box.loadOrder = order
   if (tokensPerMs !== undefined) box.tokensPerMs = tokensPerMs
@@ -110,7 +110,7 @@
 
 function addSlots(
   view: EngineView,
-  places: EngineNews["places"],
+  places: EngineSnapshot["places"],
   previous: EngineView | undefined,
   now: number
 ): void {
--- a/src/core/box-state.ts
+++ b/src/core/box-state.ts
@@ -1,5 +1,5 @@
 /** The state from which a box decides how to serve its requests. */
-import type {Need, UseChange} from "../types/box-messages.js"
+import type {WeightsRequest, EngineUseDelta} from "../types/box-messages.js"
 import type {BackendRecord, Route, SharedPrefix, Weights} from "../types/fleet.js"
 import type {AdapterVersions} from "./adapter-versions.js"
 import {createBackendList, type BackendList} from "./backend-list.js"
@@ -17,9 +17,13 @@
 import {ServerRates} from "./server-rates.js"
 import {CrashList} from "./crash-list.js"
 import {CrashWatch} from "./crash-watch.js"
-import type {CrashChanges} from "../types/crash-messages.js"
-import type {AllowanceAsk} from "../types/usage-messages.js"
-import type {RateNews, SendAsk, SentLately} from "../types/rate-messages.js"
+import type {CrashUpdate} from "../types/crash-messages.js"
+import type {AllowanceRequest} from "../types/usage-messages.js"
+import type {
+  RateReport,
+  SendAllowanceRequest,
+  SentCounts
+} from "../types/rate-messages.js"
 
 /** A request as received from the caller. */
 export interface Arrival {
@@ -269,20 +273,20 @@
   | {
       readonly type: "usage"
       readonly ask: number
-      readonly entries: readonly AllowanceAsk[]
+      readonly entries: readonly AllowanceRequest[]
     }
   /**
    * Reports a server's rate limit to the leader, or to all boxes if this box is the
    * leader.
    */
-  | {readonly type: "rate-news"; readonly news: RateNews}
+  | {readonly type: "rate-news"; readonly news: RateReport}
   /** Requests allowances for sends to rate-limited servers. */
-  | {readonly type: "send-asks"; readonly asks: readonly SendAsk[]}
+  | {readonly type: "send-asks"; readonly asks: readonly SendAllowanceRequest[]}
   /** Reports recent sends to rate-limited servers to the leader. */
-  | {readonly type: "sent-lately"; readonly sent: readonly SentLately[]}
-  | {readonly type: "need"; readonly need: Need}
+  | {readonly type: "sent-lately"; readonly sent: readonly SentCounts[]}
+  | {readonly type: "need"; readonly need: WeightsRequest}
   | {readonly type: "drop"; readonly request: string}
-  | {readonly type: "use"; readonly change: UseChange}
+  | {readonly type: "use"; readonly change: EngineUseDelta}
   | {
       readonly type: "missing"
       readonly engine: string
@@ -292,7 +296,7 @@
   /** Tests whether the server's address accepts a connection. */
   | {readonly type: "probe"; readonly backend: BackendRecord}
   /** Reports requests that crash servers to other boxes. */
-  | {readonly type: "crashes"; readonly changes: CrashChanges}
+  | {readonly type: "crashes"; readonly changes: CrashUpdate}
   | {readonly type: "note"; readonly event: BoxNote; readonly fields: NoteFields}
 
 /** The log events that a box's decisions raise. */
--- a/src/core/cell-context.ts
+++ b/src/core/cell-context.ts
@@ -1,7 +1,7 @@
 /** Inputs and helpers of a scheduling pass over a cell. */
 import type {Configuration} from "../types/config.js"
 import type {Policies} from "./cell-policy.js"
-import type {CellDraft, Engine, Waiting} from "./cell-state.js"
+import type {CellDraft, Engine, WaitingRequest} from "./cell-state.js"
 import type {Timing} from "./timing.js"
 
 /** Inputs of a pass, besides the cell. */
@@ -23,7 +23,7 @@
 /** Removes a waiting request and reports to its entry that it did not run. */
 export function refuse(
   draft: CellDraft,
-  waiting: Waiting,
+  waiting: WaitingRequest,
   code: "no-capacity" | "load-failed",
   retryAfterMs: number
 ): void {
--- a/src/core/cell-engines.ts
+++ b/src/core/cell-engines.ts
@@ -11,7 +11,7 @@
     if (!servers.has(id)) draft.engines.delete(id)
   for (const [id, server] of servers) {
     const known = draft.engines.get(id)
-    const leaving = leavingServers.has(id) || (known?.saysLeaving ?? false)
+    const leaving = leavingServers.has(id) || (known?.reportedLeaving ?? false)
     if (known) updateEngine(draft, id, {server, leaving})
     else draft.engines.set(id, createEngine(server, leaving))
   }
@@ -21,12 +21,12 @@
   return {
     server,
     leaving,
-    saysLeaving: false,
+    reportedLeaving: false,
     avoidUntil: 0,
     listed: false,
-    listing: false,
-    quietUntil: 0,
-    pairs: new Map(),
+    listPending: false,
+    nextListAt: 0,
+    adapters: new Map(),
     cancelling: new Set(),
     cancelled: new Set(),
     foreign: 0,
--- a/src/core/cell-evict.ts
+++ b/src/core/cell-evict.ts
@@ -6,25 +6,25 @@
 import {
   type CellDraft,
   type Engine,
-  type Pair,
-  giveOrder,
-  note,
+  type EngineAdapter,
+  sendOrder,
+  logEvent,
   pairKey,
-  setPair,
+  setAdapter,
   updateEngine
 } from "./cell-state.js"
-import {decide, nameDeciding} from "./cell-policy.js"
+import {decide, nameOfDecidingPolicy} from "./cell-policy.js"
 import type {CellContext} from "./cell-context.js"
-import {viewEngine} from "./cell-views.js"
+import {createEngineView} from "./cell-views.js"
 
 /** How long entries have to release a recalled adapter before it is kept. */
 const RECALL_TIMEOUT_MS = 1_000
 
 /** Counts the slots that are being freed. Each serves one wanted load. */
-export function countRoom(draft: CellDraft): number {
+export function countFreeingSlots(draft: CellDraft): number {
   let count = 0
   for (const engine of draft.engines.values()) {
-    for (const {phase} of engine.pairs.values()) {
+    for (const {phase} of engine.adapters.values()) {
       if (phase === "draining" || phase === "unloading") count++
     }
   }
@@ -32,7 +32,7 @@
 }
 
 /** Recalls a victim from its holders, on the best-ranked engine that has one. */
-export function startDrain(
+export function startEviction(
   draft: CellDraft,
   context: CellContext,
   ranked: readonly string[]
@@ -49,9 +49,9 @@
 }
 
 /** Unloads recalled adapters that were released; keeps those not released in time. */
-export function drainPairs(draft: CellDraft, context: CellContext): void {
+export function finishEvictions(draft: CellDraft, context: CellContext): void {
   for (const [engineId, engine] of draft.engines) {
-    for (const [model, adapter] of engine.pairs) {
+    for (const [model, adapter] of engine.adapters) {
       if (adapter.phase === "draining")
         finishEviction(draft, context, engineId, engine, model, adapter)
     }
@@ -64,22 +64,26 @@
   engineId: string,
   engine: Engine,
   model: string,
-  adapter: Pair
+  adapter: EngineAdapter
 ): void {
   const holders = draft.holders.get(pairKey(engineId, model))
   const blocked = isEvictionBlocked(draft, context, engineId, engine)
   if (context.mayEvict && !blocked && !holders && !isRunning(draft, engineId, model)) {
-    setPair(draft, engineId, model, {...adapter, phase: "unloading", since: draft.now})
-    giveOrder(draft, engineId, {order: "unload", model})
+    setAdapter(draft, engineId, model, {
+      ...adapter,
+      phase: "unloading",
+      phaseSetAt: draft.now
+    })
+    sendOrder(draft, engineId, {order: "unload", model})
     return
   }
-  if (draft.now - adapter.since < RECALL_TIMEOUT_MS) return
-  setPair(draft, engineId, model, {
+  if (draft.now - adapter.phaseSetAt < RECALL_TIMEOUT_MS) return
+  setAdapter(draft, engineId, model, {
     phase: "loaded",
-    since: draft.now,
+    phaseSetAt: draft.now,
     lastUsed: draft.now
   })
-  note(draft, "eviction-held", {engine: engineId, model, holders: holders?.size ?? 0})
+  logEvent(draft, "eviction-held", {engine: engineId, model, holders: holders?.size ?? 0})
 }
 
 function pickVictim(
@@ -88,10 +92,10 @@
   engineId: string,
   engine: Engine
 ): string | undefined {
-  const view = viewEngine(draft, engineId, engine)
+  const view = createEngineView(draft, engineId, engine)
   const ranked = decide(draft, context, policy => policy.rankVictims(view, draft.now))
   return ranked.find(model => {
-    if (engine.pairs.get(model)?.phase !== "loaded") return false
+    if (engine.adapters.get(model)?.phase !== "loaded") return false
     if (isRunning(draft, engineId, model) || view.models.get(model)?.waiting) return false
     return !isHeldBySilent(draft, context, engineId, model)
   })
@@ -104,11 +108,15 @@
   engine: Engine,
   model: string
 ): void {
-  const adapter = engine.pairs.get(model)
+  const adapter = engine.adapters.get(model)
   if (!adapter) return
-  setPair(draft, engineId, model, {...adapter, phase: "draining", since: draft.now})
-  const policy = nameDeciding(draft, context)
-  note(draft, "recall", {engine: engineId, model, policy})
+  setAdapter(draft, engineId, model, {
+    ...adapter,
+    phase: "draining",
+    phaseSetAt: draft.now
+  })
+  const policy = nameOfDecidingPolicy(draft, context)
+  logEvent(draft, "recall", {engine: engineId, model, policy})
   const {id: cell, fence} = draft.base
   for (const entry of draft.holders.get(pairKey(engineId, model))?.keys() ?? []) {
     draft.effects.push({
@@ -150,7 +158,8 @@
   engine: Engine
 ): boolean {
   cancelSilent(draft, context, engineId, engine)
-  for (const entry of draft.awaited) if (!engine.cancelled.has(entry)) return true
+  for (const entry of draft.awaitedInventories)
+    if (!engine.cancelled.has(entry)) return true
   return false
 }
 
@@ -167,7 +176,7 @@
     if (engine.cancelled.has(entry) || engine.cancelling.has(entry)) continue
     if (!mayBeUsing(draft, engineId, engine, entry)) continue
     updateEngine(draft, engineId, {cancelling: new Set(engine.cancelling).add(entry)})
-    giveOrder(draft, engineId, {order: "cancel", entry, grant: draft.grants})
+    sendOrder(draft, engineId, {order: "cancel", entry, grant: draft.lastGrant})
   }
 }
 
@@ -177,8 +186,8 @@
   engine: Engine,
   entry: string
 ): boolean {
-  if (draft.awaited.has(entry)) return true
-  for (const model of engine.pairs.keys()) {
+  if (draft.awaitedInventories.has(entry)) return true
+  for (const model of engine.adapters.keys()) {
     if (draft.holders.get(pairKey(engineId, model))?.has(entry)) return true
   }
   return false
--- a/src/core/cell-load.ts
+++ b/src/core/cell-load.ts
@@ -1,23 +1,29 @@
 /** Starts loads of adapters, within the cell's share of the load budget. */
 import {resolveModel} from "./configuration.js"
 import {type CellContext, isUsable, refuse, RETRY_AFTER_MS} from "./cell-context.js"
-import {countRoom, startDrain} from "./cell-evict.js"
-import {decide, nameDeciding} from "./cell-policy.js"
-import {heatOf} from "./cell-requests.js"
-import {type CellDraft, giveOrder, note, setPair, type Waiting} from "./cell-state.js"
-import {viewEngine, viewRequest, waitingFor} from "./cell-views.js"
+import {countFreeingSlots, startEviction} from "./cell-evict.js"
+import {decide, nameOfDecidingPolicy} from "./cell-policy.js"
+import {popularityOf} from "./cell-requests.js"
+import {
+  type CellDraft,
+  sendOrder,
+  logEvent,
+  setAdapter,
+  type WaitingRequest
+} from "./cell-state.js"
+import {createEngineView, createRequestView, countWaitingFor} from "./cell-views.js"
 import type {EngineView} from "./policy.js"
 
 /** Loads the wanted adapters, most urgent first; starts evictions if no slot is free. */
-export function loadWanted(
+export function startLoads(
   draft: CellDraft,
   context: CellContext,
-  wanted: ReadonlyMap<string, Waiting>
+  wanted: ReadonlyMap<string, WaitingRequest>
 ): void {
-  let freeing = countRoom(draft)
+  let freeing = countFreeingSlots(draft)
   // A slot is freed only for a load that the budget allows.
   let budget = Math.min(
-    Math.floor(draft.tokens),
+    Math.floor(draft.loadTokens),
     context.loadsAtOnce - countLoading(draft)
   )
   for (const [model, waiting] of wanted) {
@@ -28,7 +34,7 @@
     budget--
     if (loadOnFreeSlot(draft, context, waiting)) continue
     if (freeing > 0) freeing--
-    else startDrain(draft, context, rankForLoading(draft, context, waiting))
+    else startEviction(draft, context, rankForLoading(draft, context, waiting))
   }
 }
 
@@ -36,7 +42,7 @@
 function reservedLoadsFor(
   draft: CellDraft,
   context: CellContext,
-  waiting: Waiting
+  waiting: WaitingRequest
 ): number {
   const {reservedLoads, slackMs} = decide(draft, context, policy => ({
     reservedLoads: policy.reservedLoads,
@@ -62,7 +68,7 @@
   for (const waiting of draft.waiting.values()) {
     if (waiting.model !== model) continue
     const wait = failure ? failure.retryAt - draft.now : RETRY_AFTER_MS
-    if (!resolved || waiting.giveUpAt <= draft.now + wait) {
+    if (!resolved || waiting.expiresAt <= draft.now + wait) {
       refuse(draft, waiting, "load-failed", wait)
     }
   }
@@ -77,7 +83,7 @@
   for (const engine of draft.engines.values()) {
     if (!isUsable(draft, engine)) continue
     usable++
-    const phase = engine.pairs.get(model)?.phase
+    const phase = engine.adapters.get(model)?.phase
     if (phase === "loading" || phase === "doubtful") return false
     if (phase !== "loaded") continue
     copies++
@@ -85,34 +91,34 @@
   }
   if (copies === 0) return usable > 0
   if (copies >= usable) return false
-  const waiting = waitingFor(draft, model)
-  const demand = {waiting, copies, heat: heatOf(draft, model), maxBatch}
+  const waiting = countWaitingFor(draft, model)
+  const demand = {waiting, copies, heat: popularityOf(draft, model), maxBatch}
   return decide(draft, context, policy => policy.wantsCopy(demand))
 }
 
 function loadOnFreeSlot(
   draft: CellDraft,
   context: CellContext,
-  waiting: Waiting
+  waiting: WaitingRequest
 ): boolean {
   const ranked = rankForLoading(draft, context, waiting)
   const engineId = ranked.find(id => {
     const engine = draft.engines.get(id)
-    return engine !== undefined && engine.pairs.size < engine.server.slots
+    return engine !== undefined && engine.adapters.size < engine.server.slots
   })
   const weights = resolveModel(context.config, waiting.model)?.weights
   if (engineId === undefined || weights === undefined) return false
-  draft.tokens--
-  setPair(draft, engineId, waiting.model, {
+  draft.loadTokens--
+  setAdapter(draft, engineId, waiting.model, {
     phase: "loading",
-    since: draft.now,
+    phaseSetAt: draft.now,
     lastUsed: draft.now
   })
-  giveOrder(draft, engineId, {order: "load", model: waiting.model, weights})
-  note(draft, "load-started", {
+  sendOrder(draft, engineId, {order: "load", model: waiting.model, weights})
+  logEvent(draft, "load-started", {
     engine: engineId,
     model: waiting.model,
-    policy: nameDeciding(draft, context)
+    policy: nameOfDecidingPolicy(draft, context)
   })
   return true
 }
@@ -120,16 +126,16 @@
 function rankForLoading(
   draft: CellDraft,
   context: CellContext,
-  waiting: Waiting
+  waiting: WaitingRequest
 ): string[] {
   const base = resolveModel(context.config, waiting.model)?.baseModel
   const views: EngineView[] = []
   for (const [id, engine] of draft.engines) {
     if (!isUsable(draft, engine)) continue
-    if (engine.server.baseModel !== base || engine.pairs.has(waiting.model)) continue
-    views.push(viewEngine(draft, id, engine))
+    if (engine.server.baseModel !== base || engine.adapters.has(waiting.model)) continue
+    views.push(createEngineView(draft, id, engine))
   }
-  const request = viewRequest(draft, waiting)
+  const request = createRequestView(draft, waiting)
   const ranked = decide(draft, context, policy => policy.rankLoading(views, request))
   const known = new Set(views.map(view => view.id))
   return ranked.filter(id => known.has(id))
@@ -138,7 +144,8 @@
 function countLoading(draft: CellDraft): number {
   let count = 0
   for (const engine of draft.engines.values()) {
-    for (const adapter of engine.pairs.values()) if (adapter.phase === "loading") count++
+    for (const adapter of engine.adapters.values())
+      if (adapter.phase === "loading") count++
   }
   return count
 }
--- a/src/core/cell-orders.ts
+++ b/src/core/cell-orders.ts
@@ -1,8 +1,8 @@
 /** Applies the results of orders to engines to the state of a cell. */
 import type {CellDraft, Engine, EngineOrder} from "./cell-state.js"
-import {giveOrder, note, pairKey, setPair, updateEngine} from "./cell-state.js"
-import {type CacheReport, type LoadReport, takeReports} from "./cell-reports.js"
-import {dropHolder} from "./cell-requests.js"
+import {sendOrder, logEvent, pairKey, setAdapter, updateEngine} from "./cell-state.js"
+import {type CacheReport, type LoadReport, applyReports} from "./cell-reports.js"
+import {removeHolder} from "./cell-requests.js"
 import type {Timing} from "./timing.js"
 import {withoutItem} from "../utils/collections.js"
 
@@ -26,7 +26,7 @@
 const MAX_BACKOFF_DOUBLINGS = 5
 
 /** Applies the result of an order that was sent at `sentAt`. */
-export function takeOrderResult(
+export function handleOrderResult(
   draft: CellDraft,
   engineId: string,
   order: EngineOrder,
@@ -45,11 +45,11 @@
 }
 
 /** Sends list orders to the engines that are due for one. */
-export function askEngines(draft: CellDraft): void {
+export function sendListOrders(draft: CellDraft): void {
   for (const [id, engine] of draft.engines) {
-    if (engine.listing || engine.quietUntil > draft.now) continue
-    updateEngine(draft, id, {listing: true})
-    giveOrder(draft, id, {order: "list", cacheAfter: engine.cacheSeq})
+    if (engine.listPending || engine.nextListAt > draft.now) continue
+    updateEngine(draft, id, {listPending: true})
+    sendOrder(draft, id, {order: "list", cacheAfter: engine.cacheSeq})
   }
 }
 
@@ -61,32 +61,32 @@
   sentAt: number
 ): void {
   if (!result.ok) {
-    updateEngine(draft, id, {listing: false, quietUntil: draft.now + LIST_RETRY_MS})
+    updateEngine(draft, id, {listPending: false, nextListAt: draft.now + LIST_RETRY_MS})
     return
   }
-  takeReports(draft, id, result.load, result.cache)
+  applyReports(draft, id, result.load, result.cache)
   const models = new Set(result.models ?? [])
-  for (const [model, adapter] of engine.pairs) {
+  for (const [model, adapter] of engine.adapters) {
     // A phase set after the list order was sent is newer than the list.
     if (
-      adapter.since >= sentAt ||
+      adapter.phaseSetAt >= sentAt ||
       adapter.phase === "loading" ||
       adapter.phase === "unloading"
     )
       continue
     if (models.has(model)) continue
-    setPair(draft, id, model, undefined)
+    setAdapter(draft, id, model, undefined)
     resetCancels(draft, id)
-    note(draft, "engine-restarted", {engine: id, model})
+    logEvent(draft, "engine-restarted", {engine: id, model})
   }
   for (const model of models) adoptAdapter(draft, id, engine, model)
-  if (!engine.listed) note(draft, "engine-listed", {engine: id, models: models.size})
+  if (!engine.listed) logEvent(draft, "engine-listed", {engine: id, models: models.size})
   updateEngine(draft, id, {
     listed: true,
-    listing: false,
+    listPending: false,
     leaving: engine.leaving || result.leaving === true,
-    saysLeaving: result.leaving === true,
-    quietUntil: draft.now + LIST_INTERVAL_MS
+    reportedLeaving: result.leaving === true,
+    nextListAt: draft.now + LIST_INTERVAL_MS
   })
 }
 
@@ -97,16 +97,16 @@
 function resetCancels(draft: CellDraft, id: string): void {
   const cancelled = draft.engines.get(id)?.cancelled ?? new Set()
   if (cancelled.size === 0) return
-  draft.awaited = new Set([...draft.awaited, ...cancelled])
+  draft.awaitedInventories = new Set([...draft.awaitedInventories, ...cancelled])
   updateEngine(draft, id, {cancelled: new Set()})
 }
 
 function adoptAdapter(draft: CellDraft, id: string, engine: Engine, model: string): void {
-  const adapter = engine.pairs.get(model)
+  const adapter = engine.adapters.get(model)
   if (adapter && adapter.phase !== "doubtful") return
-  setPair(draft, id, model, {
+  setAdapter(draft, id, model, {
     phase: "loaded",
-    since: draft.now,
+    phaseSetAt: draft.now,
     lastUsed: adapter?.lastUsed ?? 0
   })
 }
@@ -119,16 +119,20 @@
   timing: Timing
 ): void {
   if (result.ok) {
-    setPair(draft, id, model, {phase: "loaded", since: draft.now, lastUsed: draft.now})
+    setAdapter(draft, id, model, {
+      phase: "loaded",
+      phaseSetAt: draft.now,
+      lastUsed: draft.now
+    })
     draft.failures.delete(model)
-    note(draft, "load-done", {engine: id, model})
+    logEvent(draft, "load-done", {engine: id, model})
     return
   }
-  note(draft, "load-failed", {engine: id, model, reason: result.reason})
+  logEvent(draft, "load-failed", {engine: id, model, reason: result.reason})
   if (result.reason === "lost") markDoubtful(draft, id, model)
-  else setPair(draft, id, model, undefined)
+  else setAdapter(draft, id, model, undefined)
   if (result.reason === "failed") backOff(draft, model, timing)
-  if (result.reason !== "failed") updateEngine(draft, id, {quietUntil: draft.now})
+  if (result.reason !== "failed") updateEngine(draft, id, {nextListAt: draft.now})
 }
 
 function backOff(draft: CellDraft, model: string, timing: Timing): void {
@@ -147,12 +151,16 @@
   result: OrderResult
 ): void {
   if (result.ok) {
-    setPair(draft, id, model, undefined)
-    note(draft, "evicted", {engine: id, model})
+    setAdapter(draft, id, model, undefined)
+    logEvent(draft, "evicted", {engine: id, model})
     return
   }
   if (result.reason === "busy") {
-    setPair(draft, id, model, {phase: "loaded", since: draft.now, lastUsed: draft.now})
+    setAdapter(draft, id, model, {
+      phase: "loaded",
+      phaseSetAt: draft.now,
+      lastUsed: draft.now
+    })
   } else {
     markDoubtful(draft, id, model)
   }
@@ -171,10 +179,15 @@
   for (const [requestId, running] of draft.running) {
     if (running.entry === entry && running.engine === id) draft.running.delete(requestId)
   }
-  for (const model of engine.pairs.keys()) dropHolder(draft, pairKey(id, model), entry)
+  for (const model of engine.adapters.keys())
+    removeHolder(draft, pairKey(id, model), entry)
 }
 
 function markDoubtful(draft: CellDraft, id: string, model: string): void {
-  setPair(draft, id, model, {phase: "doubtful", since: draft.now, lastUsed: draft.now})
-  updateEngine(draft, id, {quietUntil: draft.now})
+  setAdapter(draft, id, model, {
+    phase: "doubtful",
+    phaseSetAt: draft.now,
+    lastUsed: draft.now
+  })
+  updateEngine(draft, id, {nextListAt: draft.now})
 }
--- a/src/core/cell-policy.ts
+++ b/src/core/cell-policy.ts
@@ -2,7 +2,7 @@
  * Calls the active policy, and the built-in one if it fails. Policies only rank and
  * limit, so a faulty one can't break the safety rules of the core.
  */
-import {type CellDraft, note} from "./cell-state.js"
+import {type CellDraft, logEvent} from "./cell-state.js"
 import type {Policy} from "./policy.js"
 
 export interface Policies {
@@ -30,7 +30,10 @@
 }
 
 /** The name of the policy that decides in the cell: the active or the built-in one. */
-export function nameDeciding(draft: CellDraft, {policy, builtIn}: Policies): string {
+export function nameOfDecidingPolicy(
+  draft: CellDraft,
+  {policy, builtIn}: Policies
+): string {
   return isSuspended(draft, policy) ? builtIn.name : policy.name
 }
 
@@ -41,6 +44,7 @@
 function recordFault(draft: CellDraft, {name}: Policy, {message}: Error): void {
   const previous = draft.policyFaults.policy === name ? draft.policyFaults.count : 0
   draft.policyFaults = {policy: name, count: previous + 1}
-  note(draft, "policy-fault", {policy: name, reason: message})
-  if (previous + 1 === MAX_POLICY_FAULTS) note(draft, "policy-suspended", {policy: name})
+  logEvent(draft, "policy-fault", {policy: name, reason: message})
+  if (previous + 1 === MAX_POLICY_FAULTS)
+    logEvent(draft, "policy-suspended", {policy: name})
 }
--- a/src/core/cell-reports.ts
+++ b/src/core/cell-reports.ts
@@ -28,7 +28,7 @@
 const MAX_PREFIXES = 1_024
 
 /** Applies the reports that came with an engine's list of adapters. */
-export function takeReports(
+export function applyReports(
   draft: CellDraft,
   id: string,
   load: LoadReport | undefined,
--- a/src/core/cell-schedule.ts
+++ b/src/core/cell-schedule.ts
@@ -2,8 +2,8 @@
 import {REQUEST_CLASSES} from "../types/config.js"
 import {countWhere} from "../utils/collections.js"
 import {type CellContext, isUsable, refuse, RETRY_AFTER_MS} from "./cell-context.js"
-import {drainPairs} from "./cell-evict.js"
-import {loadWanted} from "./cell-load.js"
+import {finishEvictions} from "./cell-evict.js"
+import {startLoads} from "./cell-load.js"
 import {decide} from "./cell-policy.js"
 import {countRunningOn} from "./cell-reports.js"
 import {addHolder} from "./cell-requests.js"
@@ -11,11 +11,11 @@
   type CellDraft,
   type Engine,
   pairKey,
-  setPair,
+  setAdapter,
   updateEngine,
-  type Waiting
+  type WaitingRequest
 } from "./cell-state.js"
-import {viewEngine, viewRequest} from "./cell-views.js"
+import {createEngineView, createRequestView} from "./cell-views.js"
 
 /** Capacity of the token bucket that limits loads. */
 const MAX_LOAD_TOKENS = 2
@@ -25,26 +25,29 @@
   refillTokens(draft, context)
   expireWaiting(draft)
   const wanted = grantWaiting(draft, context)
-  if (wanted.size > 0) loadWanted(draft, context, wanted)
-  drainPairs(draft, context)
+  if (wanted.size > 0) startLoads(draft, context, wanted)
+  finishEvictions(draft, context)
 }
 
 function refillTokens(draft: CellDraft, {loadsPerSecond}: CellContext): void {
-  const gained = ((draft.now - draft.tokensAt) / 1000) * loadsPerSecond
-  draft.tokens = Math.min(MAX_LOAD_TOKENS, draft.tokens + gained)
-  draft.tokensAt = draft.now
+  const gained = ((draft.now - draft.loadTokensAt) / 1000) * loadsPerSecond
+  draft.loadTokens = Math.min(MAX_LOAD_TOKENS, draft.loadTokens + gained)
+  draft.loadTokensAt = draft.now
 }
 
 function expireWaiting(draft: CellDraft): void {
   for (const waiting of draft.waiting.values()) {
-    if (waiting.giveUpAt <= draft.now)
+    if (waiting.expiresAt <= draft.now)
       refuse(draft, waiting, "no-capacity", RETRY_AFTER_MS)
   }
 }
 
 /** Grants waiting requests; returns the adapters that need a load, most urgent first. */
-function grantWaiting(draft: CellDraft, context: CellContext): Map<string, Waiting> {
-  const wanted = new Map<string, Waiting>()
+function grantWaiting(
+  draft: CellDraft,
+  context: CellContext
+): Map<string, WaitingRequest> {
+  const wanted = new Map<string, WaitingRequest>()
   const unservable = new Set<string>()
   if (draft.waiting.size === 0) return wanted
   for (const waiting of sortByDueTime(draft, context)) {
@@ -56,25 +59,30 @@
   return wanted
 }
 
-function sortByDueTime(draft: CellDraft, context: CellContext): Waiting[] {
+function sortByDueTime(draft: CellDraft, context: CellContext): WaitingRequest[] {
   const slack = decide(
     draft,
     context,
     policy => new Map(REQUEST_CLASSES.map(name => [name, policy.slackMs(name)] as const))
   )
-  const dueOf = (waiting: Waiting) => waiting.arrivedAt + (slack.get(waiting.class) ?? 0)
+  const dueOf = (waiting: WaitingRequest) =>
+    waiting.arrivedAt + (slack.get(waiting.class) ?? 0)
   return [...draft.waiting.values()].sort((a, b) => dueOf(a) - dueOf(b))
 }
 
-function tryGrant(draft: CellDraft, context: CellContext, waiting: Waiting): boolean {
+function tryGrant(
+  draft: CellDraft,
+  context: CellContext,
+  waiting: WaitingRequest
+): boolean {
   const ready = [...draft.engines].filter(([, engine]) =>
     canServe(draft, engine, waiting.model)
   )
   const views = ready
-    .map(([id, engine]) => viewEngine(draft, id, engine, waiting.prefix))
+    .map(([id, engine]) => createEngineView(draft, id, engine, waiting.prefix))
     .filter(view => view.running < view.maxBatch)
   if (views.length === 0) return false
-  const request = viewRequest(draft, waiting)
+  const request = createRequestView(draft, waiting)
   const ranked = decide(draft, context, policy => policy.rankServing(views, request))
   const engineId = ranked.find(id => views.some(view => view.id === id)) ?? views[0]?.id
   if (engineId === undefined) return false
@@ -86,7 +94,7 @@
 function hasReachedLimit(
   draft: CellDraft,
   context: CellContext,
-  {organisation, class: requestClass}: Waiting
+  {organisation, class: requestClass}: WaitingRequest
 ): boolean {
   const limit = decide(draft, context, policy => policy.limit(organisation, requestClass))
   if (limit === Infinity) return false
@@ -99,14 +107,14 @@
 
 function canServe(draft: CellDraft, engine: Engine, model: string): boolean {
   if (!isUsable(draft, engine)) return false
-  const phase = engine.pairs.get(model)?.phase
+  const phase = engine.adapters.get(model)?.phase
   return phase === "loaded" || phase === "draining"
 }
 
-function grant(draft: CellDraft, waiting: Waiting, engine: string): void {
+function grant(draft: CellDraft, waiting: WaitingRequest, engine: string): void {
   const {request, entry, model, organisation} = waiting
   draft.waiting.delete(request)
-  draft.grants++
+  draft.lastGrant++
   draft.running.set(request, {
     request,
     entry,
@@ -115,9 +123,13 @@
     organisation,
     class: waiting.class
   })
-  addHolder(draft, pairKey(engine, model), entry, draft.grants)
+  addHolder(draft, pairKey(engine, model), entry, draft.lastGrant)
   recordPeakRunning(draft, engine)
-  setPair(draft, engine, model, {phase: "loaded", since: draft.now, lastUsed: draft.now})
+  setAdapter(draft, engine, model, {
+    phase: "loaded",
+    phaseSetAt: draft.now,
+    lastUsed: draft.now
+  })
   draft.effects.push({
     type: "send",
     to: entry,
@@ -128,7 +140,7 @@
       request,
       engine,
       model,
-      grant: draft.grants,
+      grant: draft.lastGrant,
       stallMs: waiting.cold ? draft.now - waiting.arrivedAt : 0,
       fillPercent: fillPercentOf(draft, engine)
     }
--- a/src/core/cell-state.ts
+++ b/src/core/cell-state.ts
@@ -11,13 +11,13 @@
  * `doubtful`: the outcome of an order is unknown. The adapter is not used until the
  * engine has listed its adapters.
  */
-export type PairPhase = "loading" | "loaded" | "draining" | "unloading" | "doubtful"
+export type AdapterPhase = "loading" | "loaded" | "draining" | "unloading" | "doubtful"
 
 /** An adapter on an engine. */
-export interface Pair {
-  readonly phase: PairPhase
+export interface EngineAdapter {
+  readonly phase: AdapterPhase
   /** Time at which the phase was last set. */
-  readonly since: number
+  readonly phaseSetAt: number
   readonly lastUsed: number
 }
 
@@ -26,16 +26,16 @@
   /** Leaving, by the platform's box list or its own report: gets no new work. */
   readonly leaving: boolean
   /** Whether the engine itself reported that it is leaving, in its last list. */
-  readonly saysLeaving: boolean
+  readonly reportedLeaving: boolean
   /** It gets no requests or loads until then, because it refused a request. */
   readonly avoidUntil: number
   /** Whether it has listed its adapters since this keeper took over the cell. */
   readonly listed: boolean
   /** Whether a list order is pending. */
-  readonly listing: boolean
+  readonly listPending: boolean
   /** Earliest time of the next list order. */
-  readonly quietUntil: number
-  readonly pairs: ReadonlyMap<string, Pair>
+  readonly nextListAt: number
+  readonly adapters: ReadonlyMap<string, EngineAdapter>
   /** Entries whose requests it was ordered to cancel, if it checks fencing tokens. */
   readonly cancelling: ReadonlySet<string>
   /** Entries whose requests it has cancelled; it refuses their earlier grants. */
@@ -51,7 +51,7 @@
 }
 
 /** A request that waits for a grant. */
-export interface Waiting {
+export interface WaitingRequest {
   readonly request: string
   readonly entry: string
   readonly organisation: string
@@ -60,13 +60,13 @@
   /** Key of the prompt's prefix, for prefix caches. Empty if the request has none. */
   readonly prefix: string
   readonly arrivedAt: number
-  readonly giveUpAt: number
+  readonly expiresAt: number
   /** Whether no engine had the adapter loaded when the request arrived. */
   readonly cold: boolean
 }
 
 /** A granted request. */
-export interface Running {
+export interface RunningRequest {
   readonly request: string
   readonly entry: string
   readonly engine: string
@@ -77,7 +77,7 @@
 }
 
 /** Demand for an adapter: a request count that decays exponentially with time. */
-export interface Heat {
+export interface Popularity {
   readonly score: number
   readonly at: number
 }
@@ -100,21 +100,21 @@
   readonly fence: number
   readonly takenAt: number
   readonly engines: ReadonlyMap<string, Engine>
-  readonly waiting: ReadonlyMap<string, Waiting>
-  readonly running: ReadonlyMap<string, Running>
+  readonly waiting: ReadonlyMap<string, WaitingRequest>
+  readonly running: ReadonlyMap<string, RunningRequest>
   /** Entries that may be using an adapter, each with its last grant; by `pairKey`. */
   readonly holders: ReadonlyMap<string, ReadonlyMap<string, number>>
   /** Entries that have not yet sent this owner their inventory. */
-  readonly awaited: ReadonlySet<string>
-  readonly heat: ReadonlyMap<string, Heat>
+  readonly awaitedInventories: ReadonlySet<string>
+  readonly popularity: ReadonlyMap<string, Popularity>
   readonly failures: ReadonlyMap<string, LoadFailure>
   /** Number of the last grant. */
-  readonly grants: number
+  readonly lastGrant: number
   /** Faults of the policy that failed last. */
   readonly policyFaults: PolicyFaults
   /** Content of the token bucket that limits loads, at `loadTokensAt`. */
-  readonly tokens: number
-  readonly tokensAt: number
+  readonly loadTokens: number
+  readonly loadTokensAt: number
 }
 
 /** An order to an engine. Loads and unloads carry the owner's fencing token. */
@@ -135,13 +135,13 @@
       readonly order: EngineOrder
     }
   | {readonly type: "probe"; readonly entry: string}
-  | {readonly type: "note"; readonly event: CellNote; readonly fields: NoteFields}
+  | {readonly type: "note"; readonly event: CellLogEvent; readonly fields: LogFields}
 
 /** Fields of a log event. */
-export type NoteFields = Readonly<Record<string, string | number | boolean>>
+export type LogFields = Readonly<Record<string, string | number | boolean>>
 
 /** Log events of a cell. */
-export type CellNote =
+export type CellLogEvent =
   | "load-started"
   | "load-failed"
   | "load-done"
@@ -159,16 +159,16 @@
   readonly base: CellState
   readonly now: number
   readonly engines: Map<string, Engine>
-  readonly waiting: Map<string, Waiting>
-  readonly running: Map<string, Running>
+  readonly waiting: Map<string, WaitingRequest>
+  readonly running: Map<string, RunningRequest>
   readonly holders: Map<string, ReadonlyMap<string, number>>
-  readonly heat: Map<string, Heat>
+  readonly popularity: Map<string, Popularity>
   readonly failures: Map<string, LoadFailure>
-  awaited: ReadonlySet<string>
-  grants: number
+  awaitedInventories: ReadonlySet<string>
+  lastGrant: number
   policyFaults: PolicyFaults
-  tokens: number
-  tokensAt: number
+  loadTokens: number
+  loadTokensAt: number
   readonly effects: CellEffect[]
 }
 
@@ -187,17 +187,17 @@
     waiting: new Map(),
     running: new Map(),
     holders: new Map(),
-    awaited: new Set(entries),
-    heat: new Map(),
+    awaitedInventories: new Set(entries),
+    popularity: new Map(),
     failures: new Map(),
-    grants: 0,
+    lastGrant: 0,
     policyFaults: {policy: "", count: 0},
-    tokens: 1,
-    tokensAt: now
+    loadTokens: 1,
+    loadTokensAt: now
   }
 }
 
-export function openCell(cell: CellState, now: number): CellDraft {
+export function createCellDraft(cell: CellState, now: number): CellDraft {
   return {
     base: cell,
     now,
@@ -205,19 +205,19 @@
     waiting: new Map(cell.waiting),
     running: new Map(cell.running),
     holders: new Map(cell.holders),
-    heat: new Map(cell.heat),
+    popularity: new Map(cell.popularity),
     failures: new Map(cell.failures),
-    awaited: cell.awaited,
-    grants: cell.grants,
+    awaitedInventories: cell.awaitedInventories,
+    lastGrant: cell.lastGrant,
     policyFaults: cell.policyFaults,
-    tokens: cell.tokens,
-    tokensAt: cell.tokensAt,
+    loadTokens: cell.loadTokens,
+    loadTokensAt: cell.loadTokensAt,
     effects: []
   }
 }
 
 /** Returns the new state of the cell. */
-export function closeCell(draft: CellDraft): CellState {
+export function commitCellDraft(draft: CellDraft): CellState {
   const {base, engines, waiting, running, holders, failures, policyFaults} = draft
   return {
     id: base.id,
@@ -227,13 +227,13 @@
     waiting,
     running,
     holders,
-    awaited: draft.awaited,
-    heat: draft.heat,
+    awaitedInventories: draft.awaitedInventories,
+    popularity: draft.popularity,
     failures,
-    grants: draft.grants,
+    lastGrant: draft.lastGrant,
     policyFaults,
-    tokens: draft.tokens,
-    tokensAt: draft.tokensAt
+    loadTokens: draft.loadTokens,
+    loadTokensAt: draft.loadTokensAt
   }
 }
 
@@ -243,18 +243,18 @@
 }
 
 /** Sets the state of an adapter on an engine; `undefined` removes the adapter. */
-export function setPair(
+export function setAdapter(
   draft: CellDraft,
   engineId: string,
   model: string,
-  adapter: Pair | undefined
+  adapter: EngineAdapter | undefined
 ): void {
   const engine = draft.engines.get(engineId)
   if (!engine) return
-  const next = new Map(engine.pairs)
+  const next = new Map(engine.adapters)
   if (adapter) next.set(model, adapter)
   else next.delete(model)
-  draft.engines.set(engineId, {...engine, pairs: next})
+  draft.engines.set(engineId, {...engine, adapters: next})
 }
 
 export function updateEngine(
@@ -267,12 +267,12 @@
 }
 
 /** Queues an order to an engine, with the cell's fencing token. */
-export function giveOrder(draft: CellDraft, engine: string, order: EngineOrder): void {
+export function sendOrder(draft: CellDraft, engine: string, order: EngineOrder): void {
   const {id, fence} = draft.base
   draft.effects.push({type: "order", cell: id, engine, fence, order})
 }
 
 /** Queues a log event. */
-export function note(draft: CellDraft, event: CellNote, fields: NoteFields): void {
+export function logEvent(draft: CellDraft, event: CellLogEvent, fields: LogFields): void {
   draft.effects.push({type: "note", event, fields: {cell: draft.base.id, ...fields}})
 }
--- a/src/core/cell-views.ts
+++ b/src/core/cell-views.ts
@@ -1,21 +1,24 @@
 /** Read-only views of a cell for policies. */
-import type {CellDraft, Engine, Waiting} from "./cell-state.js"
-import {heatOf} from "./cell-requests.js"
+import type {CellDraft, Engine, WaitingRequest} from "./cell-state.js"
+import {popularityOf} from "./cell-requests.js"
 import type {EngineView, ModelView, RequestView} from "./policy.js"
 
 /** Counts the requests of the cell that wait for an adapter. */
-export function waitingFor(draft: CellDraft, model: string): number {
+export function countWaitingFor(draft: CellDraft, model: string): number {
   let count = 0
   for (const waiting of draft.waiting.values()) if (waiting.model === model) count++
   return count
 }
 
-export function viewRequest(draft: CellDraft, waiting: Waiting): RequestView {
+export function createRequestView(
+  draft: CellDraft,
+  waiting: WaitingRequest
+): RequestView {
   const {organisation, model, arrivedAt} = waiting
   return {organisation, class: waiting.class, model, waitedMs: draft.now - arrivedAt}
 }
 
-export function viewEngine(
+export function createEngineView(
   draft: CellDraft,
   id: string,
   engine: Engine,
@@ -29,17 +32,17 @@
     total++
   }
   const models = new Map<string, ModelView>()
-  for (const [model, adapter] of engine.pairs) {
+  for (const [model, adapter] of engine.adapters) {
     models.set(model, {
       running: running.get(model) ?? 0,
-      waiting: waitingFor(draft, model),
+      waiting: countWaitingFor(draft, model),
       lastUsed: adapter.lastUsed,
-      heat: heatOf(draft, model),
+      heat: popularityOf(draft, model),
       copies: countCopies(draft, model)
     })
   }
   const {dataCentre, slots, maxBatch} = engine.server
-  const freeSlots = Math.max(0, slots - engine.pairs.size)
+  const freeSlots = Math.max(0, slots - engine.adapters.size)
   const cachesPrefix = prefix !== "" && engine.prefixes.has(prefix)
   return {
     id,
@@ -56,6 +59,6 @@
 
 function countCopies(draft: CellDraft, model: string): number {
   let count = 0
-  for (const engine of draft.engines.values()) if (engine.pairs.has(model)) count++
+  for (const engine of draft.engines.values()) if (engine.adapters.has(model)) count++
   return count
 }
--- a/src/core/changes.ts
+++ b/src/core/changes.ts
@@ -12,7 +12,7 @@
   RecordTypes
 } from "../types/config.js"
 import {isValidId, type ProposedRecord, RECORD_SCHEMAS} from "../types/records.js"
-import {applyChanges, cellsOf, enginesOfCell, findRecord} from "./configuration.js"
+import {applyChanges, listCells, enginesOfCell, findRecord} from "./configuration.js"
 
 /** A record that another operator has changed since this operator read it. */
 export interface Conflict {
@@ -30,7 +30,7 @@
   readonly conflicts: readonly Conflict[]
 }
 
-export interface ChangeRules {
+export interface ChangeContext {
   /** Returns the faults of a policy, with places relative to its value. */
   readonly checkPolicy: (policy: PolicyRecord) => readonly Finding[]
   /** Largest number of engines in a cell. */
@@ -47,7 +47,7 @@
 export function checkChange(
   config: Configuration,
   proposed: readonly ProposedRecord[],
-  rules: ChangeRules
+  rules: ChangeContext
 ): CheckedChange {
   const findings: Finding[] = []
   const records = proposed.map((record, index) =>
@@ -113,7 +113,7 @@
   next: Configuration,
   {kind, id, value}: RecordChange,
   place: string,
-  rules: ChangeRules,
+  rules: ChangeContext,
   findings: Finding[]
 ): void {
   const addFinding = (path: string, message: string) =>
@@ -248,7 +248,7 @@
   cellSize: number
 ): RecordChange[] {
   const sizes = new Map<string, number>()
-  for (const cell of cellsOf(config)) sizes.set(cell, enginesOfCell(config, cell).size)
+  for (const cell of listCells(config)) sizes.set(cell, enginesOfCell(config, cell).size)
   return records.map(record => {
     const server = record.value as BackendServer | undefined
     if (record.kind !== "backend" || server?.kind !== "model-engine") return record
--- a/src/core/configuration.ts
+++ b/src/core/configuration.ts
@@ -170,7 +170,7 @@
   return indexBackends(config).cells.get(cell) ?? new Map()
 }
 
-export function cellsOf(config: Configuration): string[] {
+export function listCells(config: Configuration): string[] {
   return [...indexBackends(config).cells.keys()]
 }
 
@@ -183,7 +183,7 @@
  * Returns the fraction of all model engines that are in a cell; 1 if there are none at
  * all.
  */
-export function shareOfCell(config: Configuration, cell: string): number {
+export function engineFractionOfCell(config: Configuration, cell: string): number {
   const {cells, engineCount} = indexBackends(config)
   return engineCount === 0 ? 1 : (cells.get(cell)?.size ?? 0) / engineCount
 }
--- a/src/core/crash-list.ts
+++ b/src/core/crash-list.ts
@@ -8,7 +8,7 @@
  * leader therefore lets quarantined requests through as trials, one at a time. An answer
  * clears the request, another crash does not.
  */
-import type {CrashNews} from "../types/crash-messages.js"
+import type {CrashReport} from "../types/crash-messages.js"
 
 export const CRASHES_TO_STOP = 3
 
@@ -72,7 +72,7 @@
   }
 
   /** Merges another box's record. Returns false if it contains nothing new. */
-  merge({fingerprint, lives, ageMs, trials}: CrashNews, now: number): boolean {
+  merge({fingerprint, lives, ageMs, trials}: CrashReport, now: number): boolean {
     const added = lives.map(incarnation =>
       this.add(fingerprint, incarnation, now - ageMs)
     )
@@ -113,7 +113,10 @@
   }
 
   /** Returns the records of these requests, or of all, as messages for other boxes. */
-  tell(now: number, fingerprints: Iterable<string> = this.records_.keys()): CrashNews[] {
+  tell(
+    now: number,
+    fingerprints: Iterable<string> = this.records_.keys()
+  ): CrashReport[] {
     return [...fingerprints].flatMap(fingerprint => {
       const record = this.records_.get(fingerprint)
       if (!record) return []
@@ -127,7 +130,7 @@
    * Returns the records that another box's full list lacks, or has with fewer crashes or
    * trials.
    */
-  tellMissing(theirs: readonly CrashNews[], now: number): CrashNews[] {
+  tellMissing(theirs: readonly CrashReport[], now: number): CrashReport[] {
     const theirRecords = new Map(theirs.map(record => [record.fingerprint, record]))
     return this.tell(now).filter(({fingerprint, lives, trials}) => {
       const theirRecord = theirRecords.get(fingerprint)
--- a/src/core/entry-cells.ts
+++ b/src/core/entry-cells.ts
@@ -1,14 +1,14 @@
 /**
  * Messages of keepers to an entry, and the grants that the entry holds on their engines.
  */
-import type {Grant, KeeperMessage, Known, Owned, Recall} from "../types/messages.js"
+import type {Grant, KeeperMessage, KeyStatus, Owned, Recall} from "../types/messages.js"
 import type {ErrorCode} from "../errors.js"
 import {
   type EntryDraft,
   findOwner,
-  hear,
-  isCurrent,
-  note,
+  recordKeeperMessage,
+  isCurrentFence,
+  logEvent,
   send,
   updateRequest
 } from "./entry-draft.js"
@@ -16,22 +16,22 @@
   advanceRequest,
   dispatchToEngine,
   findEngine,
-  heldKey,
+  heldGrantKey,
   refuseRequest,
   RETRY_AFTER_MS
 } from "./entry-requests.js"
-import {settleAgain, shareOf} from "./entry-register.js"
-import type {EntryRequest, Held} from "./entry-state.js"
+import {sendUnsentSettles, awaitedShare} from "./entry-register.js"
+import type {EntryRequest, HeldGrant} from "./entry-state.js"
 import {CELL_PREFIX, cellShare} from "./keeper-state.js"
 
 /** Handles a message of a keeper. */
-export function takeKeeperMessage(
+export function handleKeeperMessage(
   draft: EntryDraft,
   keeper: string,
   message: KeeperMessage
 ): void {
   if (!draft.links.has(keeper)) return
-  hear(draft, keeper)
+  recordKeeperMessage(draft, keeper)
   switch (message.t) {
     case "owned":
       return applyOwnedShares(draft, keeper, message)
@@ -39,10 +39,10 @@
       return handleGrant(draft, keeper, message)
     case "refuse": {
       const request = findRequestOfAttempt(draft, message.request)
-      if (request?.phase !== "asking" || request.askedOf !== keeper) return
+      if (request?.phase !== "asking" || request.askedKeeper !== keeper) return
       return refuseRequest(
         draft,
-        {...request, askedOf: ""},
+        {...request, askedKeeper: ""},
         message.code,
         message.retryAfterMs
       )
@@ -73,12 +73,12 @@
   for (const [share, fence] of owned) {
     if (fence < (draft.fences.get(share) ?? 0)) continue
     draft.fences.set(share, fence)
-    draft.heardAt.set(share, draft.now)
+    draft.ownerSeenAt.set(share, draft.now)
     if (link.owned.get(share) === fence || !share.startsWith(CELL_PREFIX)) continue
     sendInventory(draft, keeper, share.slice(CELL_PREFIX.length), fence)
   }
-  settleAgain(draft)
-  askAgain(draft)
+  sendUnsentSettles(draft)
+  advanceWaitingRequests(draft)
 }
 
 /**
@@ -91,8 +91,9 @@
   isNewTerm: (share: string) => boolean
 ): void {
   for (const [id, request] of draft.requests) {
-    if (request.askedOf !== keeper || !isNewTerm(shareOf(draft, request))) continue
-    updateRequest(draft, id, {askedOf: ""})
+    if (request.askedKeeper !== keeper || !isNewTerm(awaitedShare(draft, request)))
+      continue
+    updateRequest(draft, id, {askedKeeper: ""})
   }
 }
 
@@ -109,14 +110,14 @@
     const {attempt, backend, target} = request
     running.push({request: attempt, engine: backend, model: target.model})
   }
-  for (const ended of draft.endings.values()) {
+  for (const ended of draft.pendingCancels.values()) {
     if (ended.cell !== cell) continue
     running.push({request: ended.attempt, engine: ended.engine, model: ended.model})
   }
   const held = []
-  for (const [key, pair] of draft.held) {
+  for (const [key, pair] of draft.heldGrants) {
     if (pair.cell !== cell) continue
-    draft.held.set(key, {...pair, fence, grant: 0})
+    draft.heldGrants.set(key, {...pair, fence, grant: 0})
     held.push({engine: pair.engine, model: pair.model})
   }
   send(draft, keeper, {t: "inventory", cell, fence, running, held})
@@ -126,32 +127,39 @@
  * Advances all waiting requests. Those that wait for a keeper that no longer owns their
  * share are sent to the current owner.
  */
-export function askAgain(draft: EntryDraft): void {
+export function advanceWaitingRequests(draft: EntryDraft): void {
   for (const [id, request] of draft.requests) {
     if (request.phase === "running") continue
-    if (request.askedOf !== "" && !isAskedKeeperCurrent(draft, request)) {
-      updateRequest(draft, id, {askedOf: ""})
+    if (request.askedKeeper !== "" && !isAskedKeeperCurrent(draft, request)) {
+      updateRequest(draft, id, {askedKeeper: ""})
     }
     advanceRequest(draft, id)
   }
 }
 
 function isAskedKeeperCurrent(draft: EntryDraft, request: EntryRequest): boolean {
-  if (request.phase === "reserving") return draft.links.has(request.askedOf)
-  return findOwner(draft, cellShare(request.cell)) === request.askedOf
+  if (request.phase === "reserving") return draft.links.has(request.askedKeeper)
+  return findOwner(draft, cellShare(request.cell)) === request.askedKeeper
 }
 
 function handleGrant(draft: EntryDraft, keeper: string, grant: Grant): void {
   const {cell, fence, engine, model} = grant
-  if (!isCurrent(draft, cell, fence)) {
-    note(draft, "stale-grant", {cell, fence, engine})
+  if (!isCurrentFence(draft, cell, fence)) {
+    logEvent(draft, "stale-grant", {cell, fence, engine})
     return
   }
-  const held: Held = {cell, engine, model, fence, grant: grant.grant, lastUsed: draft.now}
-  draft.held.set(heldKey(held), held)
+  const held: HeldGrant = {
+    cell,
+    engine,
+    model,
+    fence,
+    grant: grant.grant,
+    lastUsed: draft.now
+  }
+  draft.heldGrants.set(heldGrantKey(held), held)
   const request = findRequestOfAttempt(draft, grant.request)
   const usable =
-    findEngine(draft, engine) !== undefined && !draft.state.leaving.has(engine)
+    findEngine(draft, engine) !== undefined && !draft.state.leavingBackends.has(engine)
   if (request?.phase === "asking" && usable) {
     return dispatchToEngine(draft, request, held, grant)
   }
@@ -163,7 +171,7 @@
     result: usable ? "ok" : "refused"
   })
   if (request?.phase === "asking") {
-    updateRequest(draft, request.request, {askedOf: "", retryAt: draft.now + 50})
+    updateRequest(draft, request.request, {askedKeeper: "", retryAt: draft.now + 50})
   }
 }
 
@@ -172,33 +180,33 @@
   keeper: string,
   {cell, fence, engine, model}: Recall
 ): void {
-  if (!isCurrent(draft, cell, fence)) return
-  const held = draft.held.get(heldKey({engine, model}))
+  if (!isCurrentFence(draft, cell, fence)) return
+  const held = draft.heldGrants.get(heldGrantKey({engine, model}))
   if (held && !isInUse(draft, held)) releaseGrant(draft, keeper, held)
 }
 
 /** Releases the grants that have been idle for the given time. */
-export function releaseIdle(draft: EntryDraft, idleMs: number): void {
-  for (const held of [...draft.held.values()]) {
+export function releaseIdleGrants(draft: EntryDraft, idleMs: number): void {
+  for (const held of [...draft.heldGrants.values()]) {
     if (draft.now - held.lastUsed < idleMs || isInUse(draft, held)) continue
     const owner = findOwner(draft, cellShare(held.cell))
     if (owner !== undefined) releaseGrant(draft, owner, held)
   }
 }
 
-function releaseGrant(draft: EntryDraft, keeper: string, held: Held): void {
-  draft.held.delete(heldKey(held))
+function releaseGrant(draft: EntryDraft, keeper: string, held: HeldGrant): void {
+  draft.heldGrants.delete(heldGrantKey(held))
   const {cell, engine, model, grant} = held
   const fence = draft.fences.get(cellShare(cell)) ?? 0
   send(draft, keeper, {t: "release", cell, fence, engine, model, grant})
 }
 
-function isInUse(draft: EntryDraft, {engine, model}: Held): boolean {
+function isInUse(draft: EntryDraft, {engine, model}: HeldGrant): boolean {
   for (const {phase, backend, target} of draft.requests.values()) {
     if (phase !== "running" || backend !== engine || target.kind !== "model") continue
     if (target.model === model) return true
   }
-  for (const ended of draft.endings.values()) {
+  for (const ended of draft.pendingCancels.values()) {
     if (ended.engine === engine && ended.model === model) return true
   }
   return false
@@ -215,11 +223,11 @@
 function handleReserved(draft: EntryDraft, id: string): void {
   const request = draft.requests.get(id)
   if (request?.phase !== "reserving") return
-  updateRequest(draft, id, {phase: "asking", askedOf: "", reserved: true})
+  updateRequest(draft, id, {phase: "asking", askedKeeper: "", reserved: true})
   advanceRequest(draft, id)
 }
 
-const CODE_BY_KEY_STATE: Readonly<Record<Known["state"], ErrorCode>> = {
+const CODE_BY_KEY_STATE: Readonly<Record<KeyStatus["state"], ErrorCode>> = {
   running: "key-running",
   answered: "key-answered",
   unknown: "key-unknown",
@@ -227,7 +235,7 @@
   "no-record": "no-record"
 }
 
-function handleKnown(draft: EntryDraft, {attempt, state}: Known): void {
+function handleKnown(draft: EntryDraft, {attempt, state}: KeyStatus): void {
   const request = draft.requests.get(attempt)
   if (request?.phase !== "reserving") return
   draft.requests.delete(attempt)
--- a/src/core/entry-draft.ts
+++ b/src/core/entry-draft.ts
@@ -4,14 +4,14 @@
 import {uniformFloat64} from "../utils/random.js"
 import type {
   EntryEffect,
-  EntryNote,
-  EntryNoteFields,
+  EntryLogEvent,
+  EntryLogFields,
   EntryOptions,
   EntryRequest,
   EntryState,
   EntryStep,
-  Ending,
-  Held,
+  EndedAttempt,
+  HeldGrant,
   KeeperLink
 } from "./entry-state.js"
 
@@ -24,14 +24,14 @@
   state: EntryState
   readonly links: Map<string, KeeperLink>
   readonly fences: Map<string, number>
-  readonly heardAt: Map<string, number>
+  readonly ownerSeenAt: Map<string, number>
   readonly requests: Map<string, EntryRequest>
-  readonly endings: Map<string, Ending>
-  readonly held: Map<string, Held>
+  readonly pendingCancels: Map<string, EndedAttempt>
+  readonly heldGrants: Map<string, HeldGrant>
   readonly effects: EntryEffect[]
 }
 
-export function openEntry(
+export function openEntryDraft(
   state: EntryState,
   now: number,
   options: EntryOptions
@@ -42,18 +42,38 @@
     state: {...state, lastEventAt: now},
     links: new Map(state.links),
     fences: new Map(state.fences),
-    heardAt: new Map(state.heardAt),
+    ownerSeenAt: new Map(state.ownerSeenAt),
     requests: new Map(state.requests),
-    endings: new Map(state.endings),
-    held: new Map(state.held),
+    pendingCancels: new Map(state.pendingCancels),
+    heldGrants: new Map(state.heldGrants),
     effects: []
   }
 }
 
 /** Returns the new state and the effects of the transition. */
-export function closeEntry(draft: EntryDraft): EntryStep {
-  const {state, links, fences, heardAt, requests, endings, held, effects} = draft
-  return {state: {...state, links, fences, heardAt, requests, endings, held}, effects}
+export function closeEntryDraft(draft: EntryDraft): EntryStep {
+  const {
+    state,
+    links,
+    fences,
+    ownerSeenAt: heardAt,
+    requests,
+    pendingCancels: endings,
+    heldGrants: held,
+    effects
+  } = draft
+  return {
+    state: {
+      ...state,
+      links,
+      fences,
+      ownerSeenAt: heardAt,
+      requests,
+      pendingCancels: endings,
+      heldGrants: held
+    },
+    effects
+  }
 }
 
 /** Queues a message to a keeper. */
@@ -62,7 +82,11 @@
 }
 
 /** Queues a log event. */
-export function note(draft: EntryDraft, event: EntryNote, fields: EntryNoteFields): void {
+export function logEvent(
+  draft: EntryDraft,
+  event: EntryLogEvent,
+  fields: EntryLogFields
+): void {
   draft.effects.push({type: "note", event, fields})
 }
 
@@ -94,17 +118,17 @@
 /**
  * Records the time of a message from the keeper, for the link and for the shares it owns.
  */
-export function hear(draft: EntryDraft, keeper: string): void {
+export function recordKeeperMessage(draft: EntryDraft, keeper: string): void {
   const link = draft.links.get(keeper)
   if (!link) return
-  draft.links.set(keeper, {...link, lastHeard: draft.now})
+  draft.links.set(keeper, {...link, lastMessageAt: draft.now})
   for (const [share, fence] of link.owned) {
-    if (fence >= (draft.fences.get(share) ?? 0)) draft.heardAt.set(share, draft.now)
+    if (fence >= (draft.fences.get(share) ?? 0)) draft.ownerSeenAt.set(share, draft.now)
   }
 }
 
 /** Whether no higher fence of the cell has been seen. */
-export function isCurrent(draft: EntryDraft, cell: string, fence: number): boolean {
+export function isCurrentFence(draft: EntryDraft, cell: string, fence: number): boolean {
   return fence >= (draft.fences.get(cellShare(cell)) ?? 0)
 }
 
@@ -119,7 +143,7 @@
 }
 
 /** Returns a back-off that doubles with each try, with a random factor of 0.5 to 1.5. */
-export function drawBackoff(draft: EntryDraft, tries: number): number {
+export function drawBackoffMs(draft: EntryDraft, tries: number): number {
   const [value, random] = uniformFloat64(draft.state.random)
   draft.state = {...draft.state, random}
   return RETRY_BASE_MS * 2 ** tries * (0.5 + value)
--- a/src/core/entry-register.ts
+++ b/src/core/entry-register.ts
@@ -18,8 +18,8 @@
   if (key === undefined) return
   const shard = registerShardOf(draft, key)
   const owner = findOwner(draft, shard)
-  if (owner === undefined || owner === request.askedOf) return
-  updateRequest(draft, id, {askedOf: owner})
+  if (owner === undefined || owner === request.askedKeeper) return
+  updateRequest(draft, id, {askedKeeper: owner})
   send(draft, owner, {t: "reserve", shard, key, attempt: id, body})
 }
 
@@ -36,22 +36,22 @@
 }
 
 /** Sends the outcomes that could not be sent before to shards that have an owner now. */
-export function settleAgain(draft: EntryDraft): void {
-  const {unsettled} = draft.state
+export function sendUnsentSettles(draft: EntryDraft): void {
+  const {unsentSettles: unsettled} = draft.state
   if (unsettled.length === 0) return
-  draft.state = {...draft.state, unsettled: []}
+  draft.state = {...draft.state, unsentSettles: []}
   for (const settle of unsettled) sendSettle(draft, settle)
 }
 
 function sendSettle(draft: EntryDraft, settle: Settle): void {
   const owner = findOwner(draft, settle.shard)
   if (owner !== undefined) return send(draft, owner, settle)
-  const unsettled = [...draft.state.unsettled, settle].slice(-MAX_UNSENT_SETTLES)
-  draft.state = {...draft.state, unsettled}
+  const unsettled = [...draft.state.unsentSettles, settle].slice(-MAX_UNSENT_SETTLES)
+  draft.state = {...draft.state, unsentSettles: unsettled}
 }
 
 /** Returns the share whose owner a request waits for. */
-export function shareOf(draft: EntryDraft, request: EntryRequest): string {
+export function awaitedShare(draft: EntryDraft, request: EntryRequest): string {
   const {phase, key, cell} = request
   return phase === "reserving" && key !== undefined
     ? registerShardOf(draft, key)
--- a/src/core/entry-requests.ts
+++ b/src/core/entry-requests.ts
@@ -7,11 +7,11 @@
   countRequests,
   type EntryDraft,
   findOwner,
-  note,
+  logEvent,
   send,
   updateRequest
 } from "./entry-draft.js"
-import type {Arrival, EntryRequest, Held} from "./entry-state.js"
+import type {Arrival, EntryRequest, HeldGrant} from "./entry-state.js"
 import {reserveKey, settleKey} from "./entry-register.js"
 import {cellShare} from "./keeper-state.js"
 
@@ -37,9 +37,9 @@
     ...arrival,
     phase: arrival.key === undefined ? "asking" : "reserving",
     arrivedAt: draft.now,
-    giveUpAt: draft.now + patience,
+    expiresAt: draft.now + patience,
     cell,
-    askedOf: "",
+    askedKeeper: "",
     backend: "",
     attempts: 0,
     attempt: `${arrival.request}.0`,
@@ -95,7 +95,7 @@
 export function advanceRequest(draft: EntryDraft, id: string): void {
   const request = draft.requests.get(id)
   if (!request || request.phase === "running") return
-  if (request.giveUpAt <= draft.now) return expireRequest(draft, request)
+  if (request.expiresAt <= draft.now) return expireRequest(draft, request)
   if (request.phase === "reserving") return reserveKey(draft, request)
   if (request.retryAt > draft.now) return
   if (request.target.kind === "service") return sendToMember(draft, request)
@@ -133,9 +133,9 @@
  */
 export function dropRequest(draft: EntryDraft, request: EntryRequest): void {
   draft.requests.delete(request.request)
-  if (request.phase === "asking" && request.askedOf !== "") {
+  if (request.phase === "asking" && request.askedKeeper !== "") {
     const {cell, attempt} = request
-    send(draft, request.askedOf, {t: "withdraw", cell, request: attempt})
+    send(draft, request.askedKeeper, {t: "withdraw", cell, request: attempt})
   }
   settleKey(draft, request, "not-run")
 }
@@ -156,8 +156,8 @@
   const owner = findOwner(draft, cellShare(request.cell))
   if (owner === undefined)
     return dispatchWithoutOwner(draft, request, request.target.model)
-  if (owner === request.askedOf) return
-  updateRequest(draft, request.request, {askedOf: owner})
+  if (owner === request.askedKeeper) return
+  updateRequest(draft, request.request, {askedKeeper: owner})
   send(draft, owner, {
     t: "ask",
     cell: request.cell,
@@ -166,7 +166,7 @@
     class: request.class,
     model: request.target.model,
     prefix: request.prefix,
-    patienceMs: request.giveUpAt - draft.now
+    patienceMs: request.expiresAt - draft.now
   })
 }
 
@@ -180,7 +180,7 @@
   request: EntryRequest,
   model: string
 ): void {
-  const usable = [...draft.held.values()].filter(
+  const usable = [...draft.heldGrants.values()].filter(
     held =>
       held.cell === request.cell &&
       held.model === model &&
@@ -189,17 +189,17 @@
   usable.sort((a, b) => countRunningOn(draft, a.engine) - countRunningOn(draft, b.engine))
   const held = usable[0]
   if (!held) return
-  note(draft, "ownerless", {cell: request.cell, engine: held.engine, model})
+  logEvent(draft, "ownerless", {cell: request.cell, engine: held.engine, model})
   dispatchToEngine(draft, request, held, {stallMs: 0, fillPercent: undefined})
 }
 
-function canUseWithoutOwner(draft: EntryDraft, {cell, engine}: Held): boolean {
+function canUseWithoutOwner(draft: EntryDraft, {cell, engine}: HeldGrant): boolean {
   const server = findEngine(draft, engine)
-  if (!server || draft.state.leaving.has(engine)) return false
+  if (!server || draft.state.leavingBackends.has(engine)) return false
   if (countRunningOn(draft, engine) >= server.maxBatch * OWNERLESS_BATCH_FRACTION)
     return false
   if (server.checksFences) return true
-  const heardAt = draft.heardAt.get(cellShare(cell)) ?? -Infinity
+  const heardAt = draft.ownerSeenAt.get(cellShare(cell)) ?? -Infinity
   return draft.now - heardAt < draft.options.timing.ownerlessMs
 }
 
@@ -207,12 +207,12 @@
 export function dispatchToEngine(
   draft: EntryDraft,
   request: EntryRequest,
-  held: Held,
+  held: HeldGrant,
   grantInfo: {readonly stallMs: number; readonly fillPercent: number | undefined}
 ): void {
   const server = findEngine(draft, held.engine)
   if (!server) return
-  draft.held.set(heldKey(held), {...held, lastUsed: draft.now})
+  draft.heldGrants.set(heldGrantKey(held), {...held, lastUsed: draft.now})
   startRunning(draft, request, held.engine)
   draft.effects.push({
     type: "dispatch",
@@ -229,7 +229,7 @@
 }
 
 /** Returns the key of a grant: engine and model. */
-export function heldKey({engine, model}: {engine: string; model: string}): string {
+export function heldGrantKey({engine, model}: {engine: string; model: string}): string {
   return `${engine}|${model}`
 }
 
@@ -249,7 +249,7 @@
 function startRunning(draft: EntryDraft, request: EntryRequest, backend: string): void {
   updateRequest(draft, request.request, {
     phase: "running",
-    askedOf: "",
+    askedKeeper: "",
     backend,
     startedAt: draft.now,
     resumes: 0,
@@ -285,7 +285,10 @@
 }
 
 function hasCapacity(draft: EntryDraft, id: string, member: PlainService): boolean {
-  return !draft.state.leaving.has(id) && countRunningOn(draft, id) < member.maxInProgress
+  return (
+    !draft.state.leavingBackends.has(id) &&
+    countRunningOn(draft, id) < member.maxInProgress
+  )
 }
 
 /**
@@ -294,6 +297,6 @@
  */
 function scoreMember(draft: EntryDraft, id: string, member: PlainService): number {
   const remote = member.dataCentre === draft.options.dataCentre ? 0 : 1
-  const avoided = (draft.state.avoided.get(id) ?? 0) > draft.now ? 2 : 0
+  const avoided = (draft.state.avoidedUntil.get(id) ?? 0) > draft.now ? 2 : 0
   return avoided + remote + countRunningOn(draft, id) / member.maxInProgress
 }
--- a/src/core/entry-results.ts
+++ b/src/core/entry-results.ts
@@ -1,11 +1,16 @@
 /** Handles the end of an attempt: the answer or a retry, and the release of its pin. */
 import {withEntry} from "../utils/collections.js"
 import type {EntryDraft} from "./entry-draft.js"
-import {drawBackoff, findOwner, note, send, updateRequest} from "./entry-draft.js"
+import {drawBackoffMs, findOwner, logEvent, send, updateRequest} from "./entry-draft.js"
 import {settleKey} from "./entry-register.js"
 import {findEngine, refuseRequest, RETRY_AFTER_MS} from "./entry-requests.js"
-import {resumeLater} from "./entry-resume.js"
-import type {BackendResult, Ending, EntryEvent, EntryRequest} from "./entry-state.js"
+import {scheduleResume} from "./entry-resume.js"
+import type {
+  BackendResult,
+  EndedAttempt,
+  EntryEvent,
+  EntryRequest
+} from "./entry-state.js"
 import {cellShare} from "./keeper-state.js"
 import type {Done} from "../types/messages.js"
 import type {ErrorCode} from "../errors.js"
@@ -38,13 +43,13 @@
 type AttemptResult = Omit<Extract<EntryEvent, {type: "backend-result"}>, "type">
 
 /** Handles the result of a request's current attempt. */
-export function takeBackendResult(
+export function handleBackendResult(
   draft: EntryDraft,
   {request: id, result, replied, progressed = false}: AttemptResult
 ): void {
   const request = draft.requests.get(id)
   if (!request || request.phase !== "running") return
-  if (result === "lost" && resumeLater(draft, request, replied, progressed)) return
+  if (result === "lost" && scheduleResume(draft, request, replied, progressed)) return
   endAttempt(draft, request, result)
   if (AVOIDED_AFTER.has(result)) avoidBackend(draft, request.backend)
   if (result === "ok" || result === "answered-error") {
@@ -63,8 +68,8 @@
 }
 
 function avoidBackend(draft: EntryDraft, backend: string): void {
-  const avoided = withEntry(draft.state.avoided, backend, draft.now + AVOID_MS)
-  draft.state = {...draft.state, avoided}
+  const avoided = withEntry(draft.state.avoidedUntil, backend, draft.now + AVOID_MS)
+  draft.state = {...draft.state, avoidedUntil: avoided}
 }
 
 function endAsUnknown(draft: EntryDraft, request: EntryRequest): void {
@@ -91,10 +96,10 @@
 ): void {
   const attempts = request.attempts + 1
   const budget = draft.state.retryTokens
-  const retryAt = draft.now + drawBackoff(draft, attempts)
-  if (attempts < MAX_ATTEMPTS && budget >= 1 && retryAt < request.giveUpAt) {
+  const retryAt = draft.now + drawBackoffMs(draft, attempts)
+  if (attempts < MAX_ATTEMPTS && budget >= 1 && retryAt < request.expiresAt) {
     draft.state = {...draft.state, retryTokens: budget - 1}
-    note(draft, "retry", {request: request.request, attempts})
+    logEvent(draft, "retry", {request: request.request, attempts})
     updateRequest(draft, request.request, {
       phase: "asking",
       attempts,
@@ -102,12 +107,17 @@
       retryAt,
       mayHaveRun: request.mayHaveRun || outcome === "unknown",
       backend: "",
-      askedOf: ""
+      askedKeeper: ""
     })
     return
   }
   if (outcome === "unknown") return failRequest(draft, request, code)
-  refuseRequest(draft, {...request, phase: "asking", askedOf: ""}, code, RETRY_AFTER_MS)
+  refuseRequest(
+    draft,
+    {...request, phase: "asking", askedKeeper: ""},
+    code,
+    RETRY_AFTER_MS
+  )
 }
 
 // Pins
@@ -118,7 +128,7 @@
   result: BackendResult
 ): void {
   if (request.target.kind !== "model") return
-  const ended: Ending = {
+  const ended: EndedAttempt = {
     attempt: request.attempt,
     cell: request.cell,
     engine: request.backend,
@@ -128,8 +138,8 @@
   if (result === "ok" || result === "answered-error" || NOT_RUN.has(result)) {
     return reportDone(draft, ended, doneResult(result))
   }
-  draft.endings.set(ended.attempt, ended)
-  cancelEndings(draft)
+  draft.pendingCancels.set(ended.attempt, ended)
+  sendDueCancels(draft)
 }
 
 function doneResult(result: BackendResult): Done["result"] {
@@ -137,7 +147,11 @@
   return NOT_RUN.has(result) ? "failed" : "ok"
 }
 
-function reportDone(draft: EntryDraft, ended: Ending, result: Done["result"]): void {
+function reportDone(
+  draft: EntryDraft,
+  ended: EndedAttempt,
+  result: Done["result"]
+): void {
   const owner = findOwner(draft, cellShare(ended.cell))
   if (owner === undefined) return
   const {cell, attempt, engine} = ended
@@ -145,32 +159,32 @@
 }
 
 /** Sends the cancels that are due. */
-export function cancelEndings(draft: EntryDraft): void {
-  for (const [attempt, ended] of draft.endings) {
+export function sendDueCancels(draft: EntryDraft): void {
+  for (const [attempt, ended] of draft.pendingCancels) {
     if (ended.retryAt === undefined || ended.retryAt > draft.now) continue
     const server = findEngine(draft, ended.engine)
     if (!server) {
       finishCancel(draft, ended)
       continue
     }
-    draft.endings.set(attempt, {...ended, retryAt: undefined})
+    draft.pendingCancels.set(attempt, {...ended, retryAt: undefined})
     draft.effects.push({type: "cancel", attempt, address: server.address})
   }
 }
 
 /** Handles the result of a cancel. */
-export function takeCancelled(
+export function handleCancelResult(
   draft: EntryDraft,
   attempt: string,
   confirmed: boolean
 ): void {
-  const ended = draft.endings.get(attempt)
+  const ended = draft.pendingCancels.get(attempt)
   if (!ended) return
   if (confirmed) return finishCancel(draft, ended)
-  draft.endings.set(attempt, {...ended, retryAt: draft.now + CANCEL_RETRY_MS})
+  draft.pendingCancels.set(attempt, {...ended, retryAt: draft.now + CANCEL_RETRY_MS})
 }
 
-function finishCancel(draft: EntryDraft, ended: Ending): void {
-  draft.endings.delete(ended.attempt)
+function finishCancel(draft: EntryDraft, ended: EndedAttempt): void {
+  draft.pendingCancels.delete(ended.attempt)
   reportDone(draft, ended, "failed")
 }
--- a/src/core/entry-resume.ts
+++ b/src/core/entry-resume.ts
@@ -3,7 +3,7 @@
  * is also safe for requests that must not be retried. The pin stays until the stream
  * ends.
  */
-import {drawBackoff, type EntryDraft, note, updateRequest} from "./entry-draft.js"
+import {drawBackoffMs, type EntryDraft, logEvent, updateRequest} from "./entry-draft.js"
 import {findEngine} from "./entry-requests.js"
 import type {EntryRequest} from "./entry-state.js"
 
@@ -11,7 +11,7 @@
 const MAX_FRUITLESS_RESUMES = 4
 
 /** Schedules a resume of a broken stream. Returns false if it cannot be resumed. */
-export function resumeLater(
+export function scheduleResume(
   draft: EntryDraft,
   request: EntryRequest,
   replied: boolean,
@@ -23,19 +23,19 @@
   if (fruitless >= MAX_FRUITLESS_RESUMES) return false
   if (draft.now - request.startedAt >= draft.options.timing.requestMaxMs) return false
   const resumes = fruitless + 1
-  const resumeAt = draft.now + (resumes === 1 ? 0 : drawBackoff(draft, resumes))
+  const resumeAt = draft.now + (resumes === 1 ? 0 : drawBackoffMs(draft, resumes))
   updateRequest(draft, request.request, {resumes, resumeAt, replied})
-  resumeDue(draft, request.request)
+  resumeIfDue(draft, request.request)
   return true
 }
 
 /** Resumes a broken stream if its resume is due. */
-export function resumeDue(draft: EntryDraft, id: string): void {
+export function resumeIfDue(draft: EntryDraft, id: string): void {
   const request = draft.requests.get(id)
   if (request?.resumeAt === undefined || request.resumeAt > draft.now) return
   const {attempt, backend, resumes} = request
   const address = findEngine(draft, backend)?.address ?? ""
   updateRequest(draft, id, {resumeAt: undefined})
-  note(draft, "resume", {request: id, engine: backend, resumes})
+  logEvent(draft, "resume", {request: id, engine: backend, resumes})
   draft.effects.push({type: "resume", request: id, attempt, address})
 }
--- a/src/core/entry-state.ts
+++ b/src/core/entry-state.ts
@@ -53,11 +53,11 @@
 export interface EntryRequest extends Arrival {
   readonly phase: RequestPhase
   readonly arrivedAt: number
-  readonly giveUpAt: number
+  readonly expiresAt: number
   /** The cell of a model; empty for a plain service. */
   readonly cell: string
   /** The keeper whose answer the request waits for; empty if none was asked. */
-  readonly askedOf: string
+  readonly askedKeeper: string
   readonly backend: string
   readonly attempts: number
   /** Name of the current attempt in messages to keepers and backend servers. */
@@ -81,7 +81,7 @@
  * An attempt whose connection ended before the answer was complete. The engine may still
  * be running it, so the pin stays until the engine confirms the cancel.
  */
-export interface Ending {
+export interface EndedAttempt {
   readonly attempt: string
   readonly cell: string
   readonly engine: string
@@ -91,7 +91,7 @@
 }
 
 /** The latest grant of an adapter on an engine that this entry has not released. */
-export interface Held {
+export interface HeldGrant {
   readonly cell: string
   readonly engine: string
   readonly model: string
@@ -101,7 +101,7 @@
 }
 
 export interface KeeperLink {
-  readonly lastHeard: number
+  readonly lastMessageAt: number
   /** Shares that the keeper reports as its own, each with its fence (fencing token). */
   readonly owned: ReadonlyMap<string, number>
 }
@@ -113,16 +113,16 @@
   /** The highest fence seen of each share. A grant with a lower fence is not used. */
   readonly fences: ReadonlyMap<string, number>
   /** When a message of the current owner last arrived, by share. */
-  readonly heardAt: ReadonlyMap<string, number>
+  readonly ownerSeenAt: ReadonlyMap<string, number>
   readonly requests: ReadonlyMap<string, EntryRequest>
-  readonly endings: ReadonlyMap<string, Ending>
-  readonly held: ReadonlyMap<string, Held>
+  readonly pendingCancels: ReadonlyMap<string, EndedAttempt>
+  readonly heldGrants: ReadonlyMap<string, HeldGrant>
   /** Backend servers that are leaving, according to the box list. */
-  readonly leaving: ReadonlySet<string>
+  readonly leavingBackends: ReadonlySet<string>
   /** Outcomes of recorded requests, kept while their register shard has no owner. */
-  readonly unsettled: readonly Settle[]
+  readonly unsentSettles: readonly Settle[]
   /** Until when other backend servers are preferred to one that refused or was lost. */
-  readonly avoided: ReadonlyMap<string, number>
+  readonly avoidedUntil: ReadonlyMap<string, number>
   /** Remaining retry budget; each new request adds a tenth of a token. */
   readonly retryTokens: number
   readonly random: RandomGenerator
@@ -221,11 +221,15 @@
     }
   /** Reopens all links after a pause, as the peers may have closed them meanwhile. */
   | {readonly type: "reset-links"}
-  | {readonly type: "note"; readonly event: EntryNote; readonly fields: EntryNoteFields}
+  | {
+      readonly type: "note"
+      readonly event: EntryLogEvent
+      readonly fields: EntryLogFields
+    }
   | {readonly type: "stopped"}
 
-export type EntryNote = "retry" | "resume" | "ownerless" | "paused" | "stale-grant"
-export type EntryNoteFields = Readonly<Record<string, string | number | boolean>>
+export type EntryLogEvent = "retry" | "resume" | "ownerless" | "paused" | "stale-grant"
+export type EntryLogFields = Readonly<Record<string, string | number | boolean>>
 
 export interface EntryStep {
   readonly state: EntryState
--- a/src/core/entry.ts
+++ b/src/core/entry.ts
@@ -1,17 +1,21 @@
 /** The state machine of an entry: `(state, event, now) -> (state, effects)`. */
 import {createRandom} from "../utils/random.js"
 import {emptyConfiguration} from "./configuration.js"
-import {askAgain, releaseIdle, takeKeeperMessage} from "./entry-cells.js"
 import {
-  closeEntry,
+  advanceWaitingRequests,
+  releaseIdleGrants,
+  handleKeeperMessage
+} from "./entry-cells.js"
+import {
+  closeEntryDraft,
   type EntryDraft,
-  note,
-  openEntry,
+  logEvent,
+  openEntryDraft,
   updateRequest
 } from "./entry-draft.js"
 import {admitRequest, advanceRequest, dropRequest} from "./entry-requests.js"
-import {cancelEndings, takeBackendResult, takeCancelled} from "./entry-results.js"
-import {resumeDue} from "./entry-resume.js"
+import {sendDueCancels, handleBackendResult, handleCancelResult} from "./entry-results.js"
+import {resumeIfDue} from "./entry-resume.js"
 import type {
   EntryEvent,
   EntryOptions,
@@ -28,13 +32,13 @@
     links: new Map(),
     shares: new Map(),
     fences: new Map(),
-    heardAt: new Map(),
+    ownerSeenAt: new Map(),
     requests: new Map(),
-    endings: new Map(),
-    held: new Map(),
-    leaving: new Set(),
-    unsettled: [],
-    avoided: new Map(),
+    pendingCancels: new Map(),
+    heldGrants: new Map(),
+    leavingBackends: new Set(),
+    unsentSettles: [],
+    avoidedUntil: new Map(),
     retryTokens: INITIAL_RETRY_TOKENS,
     random: createRandom(seed),
     lastEventAt: 0,
@@ -49,10 +53,10 @@
   now: number,
   options: EntryOptions
 ): EntryStep {
-  const draft = openEntry(state, now, options)
+  const draft = openEntryDraft(state, now, options)
   detectPause(draft, state.lastEventAt)
   handleEvent(draft, event)
-  return closeEntry(draft)
+  return closeEntryDraft(draft)
 }
 
 /**
@@ -63,9 +67,9 @@
 function detectPause(draft: EntryDraft, lastEventAt: number): void {
   const gap = draft.now - lastEventAt
   if (lastEventAt === 0 || gap < draft.options.timing.linkSilenceMs) return
-  note(draft, "paused", {gapMs: Math.round(gap)})
+  logEvent(draft, "paused", {gapMs: Math.round(gap)})
   draft.links.clear()
-  for (const id of draft.requests.keys()) updateRequest(draft, id, {askedOf: ""})
+  for (const id of draft.requests.keys()) updateRequest(draft, id, {askedKeeper: ""})
   draft.effects.push({type: "reset-links"})
 }
 
@@ -79,23 +83,23 @@
     case "shares":
       return applyShares(draft, event.shares)
     case "link-up":
-      draft.links.set(event.keeper, {lastHeard: draft.now, owned: new Map()})
+      draft.links.set(event.keeper, {lastMessageAt: draft.now, owned: new Map()})
       return
     case "link-down":
       draft.links.delete(event.keeper)
-      return askAgain(draft)
+      return advanceWaitingRequests(draft)
     case "message":
-      return takeKeeperMessage(draft, event.from, event.message)
+      return handleKeeperMessage(draft, event.from, event.message)
     case "arrive":
       return admitRequest(draft, event.arrival)
     case "hang-up":
       return handleDisconnect(draft, event.request)
     case "backend-result":
-      return takeBackendResult(draft, event)
+      return handleBackendResult(draft, event)
     case "cancelled":
-      return takeCancelled(draft, event.attempt, event.confirmed)
+      return handleCancelResult(draft, event.attempt, event.confirmed)
     case "box-list":
-      draft.state = {...draft.state, leaving: event.leaving}
+      draft.state = {...draft.state, leavingBackends: event.leaving}
       return
     case "stop":
       draft.state = {...draft.state, stopping: true}
@@ -109,11 +113,15 @@
     if (request.phase !== "running") advanceRequest(draft, id)
     else if (draft.now - request.startedAt >= timing.requestMaxMs) {
       abortRunning(draft, request, "timeout")
-    } else resumeDue(draft, id)
+    } else resumeIfDue(draft, id)
   }
-  cancelEndings(draft)
-  releaseIdle(draft, draft.state.stopping ? 0 : timing.holdMs)
-  if (draft.state.stopping && draft.requests.size === 0 && draft.endings.size === 0) {
+  sendDueCancels(draft)
+  releaseIdleGrants(draft, draft.state.stopping ? 0 : timing.holdMs)
+  if (
+    draft.state.stopping &&
+    draft.requests.size === 0 &&
+    draft.pendingCancels.size === 0
+  ) {
     draft.effects.push({type: "stopped"})
   }
 }
@@ -126,7 +134,7 @@
   for (const [share, {fence}] of shares) {
     if (fence > (draft.fences.get(share) ?? 0)) draft.fences.set(share, fence)
   }
-  askAgain(draft)
+  advanceWaitingRequests(draft)
 }
 
 function handleDisconnect(draft: EntryDraft, id: string): void {
@@ -145,6 +153,7 @@
   {request, replied, resumeAt}: EntryRequest,
   result: "abandoned" | "timeout"
 ): void {
-  if (resumeAt !== undefined) return takeBackendResult(draft, {request, result, replied})
+  if (resumeAt !== undefined)
+    return handleBackendResult(draft, {request, result, replied})
   draft.effects.push({type: "abort", request, timedOut: result === "timeout"})
 }
--- a/src/core/keeper-draft.ts
+++ b/src/core/keeper-draft.ts
@@ -1,8 +1,8 @@
 /** A draft of a keeper's state for one transition, with its cells and registers. */
-import {shareOfCell} from "./configuration.js"
+import {engineFractionOfCell} from "./configuration.js"
 import type {CellContext} from "./cell-context.js"
 import {scheduleCell} from "./cell-schedule.js"
-import {type CellDraft, closeCell, openCell} from "./cell-state.js"
+import {type CellDraft, commitCellDraft, createCellDraft} from "./cell-state.js"
 import type {KeeperEffect, KeeperOptions, KeeperState} from "./keeper-state.js"
 import {cellShare} from "./keeper-state.js"
 import {holdsLease} from "./ownership.js"
@@ -28,12 +28,12 @@
 ): void {
   const cell = draft.state.cells.get(id)
   if (!cell) return
-  const cellDraft = openCell(cell, draft.now)
+  const cellDraft = createCellDraft(cell, draft.now)
   change(cellDraft)
   scheduleCell(cellDraft, createContext(draft, id))
-  update(draft, {cells: withEntry(draft.state.cells, id, closeCell(cellDraft))})
+  update(draft, {cells: withEntry(draft.state.cells, id, commitCellDraft(cellDraft))})
   for (const effect of cellDraft.effects) {
-    if (effect.type === "order") countOrder(draft, id, 1)
+    if (effect.type === "order") adjustPendingOrders(draft, id, 1)
     draft.effects.push(effect)
   }
 }
@@ -44,9 +44,11 @@
 }
 
 /** Adjusts the number of pending orders of a cell. */
-export function countOrder(draft: KeeperDraft, cell: string, by: number): void {
-  const count = (draft.state.orders.get(cell) ?? 0) + by
-  update(draft, {orders: withEntry(draft.state.orders, cell, Math.max(0, count))})
+export function adjustPendingOrders(draft: KeeperDraft, cell: string, by: number): void {
+  const count = (draft.state.pendingOrders.get(cell) ?? 0) + by
+  update(draft, {
+    pendingOrders: withEntry(draft.state.pendingOrders, cell, Math.max(0, count))
+  })
 }
 
 /**
@@ -68,7 +70,7 @@
 }
 
 function createContext({state, options, now}: KeeperDraft, cell: string): CellContext {
-  const share = shareOfCell(state.config, cell)
+  const share = engineFractionOfCell(state.config, cell)
   const owns = state.ownership.owned.has(cellShare(cell))
   return {
     config: state.config,
--- a/src/core/keeper-entries.ts
+++ b/src/core/keeper-entries.ts
@@ -1,5 +1,5 @@
 /** The entries of a keeper: linked, silent (without a live link) or gone. */
-import {dropWaiting, entryGone} from "./cell-requests.js"
+import {removeWaiting, handleEntryGone} from "./cell-requests.js"
 import {changeCells, type KeeperDraft, update} from "./keeper-draft.js"
 import type {KeeperState} from "./keeper-state.js"
 import {withEntry, withoutEntry} from "../utils/collections.js"
@@ -11,10 +11,7 @@
  * Adds registered entries. Their inventories are awaited, as an entry that was unknown at
  * the takeover may use grants of an earlier owner.
  */
-export function learnEntries(
-  draft: KeeperDraft,
-  registered: KeeperState["entries"]
-): void {
+export function addEntries(draft: KeeperDraft, registered: KeeperState["entries"]): void {
   const {entries, links, silentSince} = draft.state
   const fresh = [...registered].filter(([entry]) => !entries.get(entry))
   if (fresh.length === 0) return
@@ -28,7 +25,7 @@
 }
 
 /** Handles a new link; the entry sends its inventory next. */
-export function linkUp(draft: KeeperDraft, entry: string, role: string): void {
+export function handleLinkUp(draft: KeeperDraft, entry: string, role: string): void {
   if (role !== "entry") return
   const {entries, links, silentSince} = draft.state
   update(draft, {
@@ -37,32 +34,32 @@
     silentSince: withoutEntry(silentSince, entry)
   })
   awaitInventories(draft, [entry])
-  tellOwned(draft, entry)
+  sendOwned(draft, entry)
 }
 
 /**
  * Handles the end of a link: removes the waiting requests of the entry, which it will
  * send again. The adapters that it holds stay loaded.
  */
-export function linkDown(draft: KeeperDraft, entry: string): void {
+export function handleLinkDown(draft: KeeperDraft, entry: string): void {
   const links = new Set(draft.state.links)
   if (!links.delete(entry)) return
   update(draft, {
     links,
     silentSince: withEntry(draft.state.silentSince, entry, draft.now)
   })
-  changeCells(draft, cell => dropWaiting(cell, entry))
+  changeCells(draft, cell => removeWaiting(cell, entry))
 }
 
 /** Sends an entry the shares that this keeper owns. */
-export function tellOwned(draft: KeeperDraft, entry: string): void {
+export function sendOwned(draft: KeeperDraft, entry: string): void {
   const {owned} = draft.state.ownership
   const shares = [...owned].map(([share, fence]) => ({share, fence}))
   draft.effects.push({type: "send", to: entry, message: {t: "owned", shares}})
 }
 
 /** Probes the silent entries. */
-export function lookForSilent(draft: KeeperDraft): void {
+export function probeSilentEntries(draft: KeeperDraft): void {
   for (const entry of draft.state.silentSince.keys()) {
     const last = draft.state.probedAt.get(entry) ?? -Infinity
     if (draft.now - last < PROBE_INTERVAL_MS) continue
@@ -75,7 +72,7 @@
  * Handles the result of a probe. Only evidence of its end, or a silence of `entryGoneMs`,
  * frees the adapters that an entry holds.
  */
-export function takeProbe(
+export function handleProbeResult(
   draft: KeeperDraft,
   entry: string,
   verdict: "gone" | "alive" | "silent"
@@ -86,7 +83,7 @@
   const expired = draft.now - since >= draft.options.timing.entryGoneMs
   if (verdict !== "gone" && !expired) return
   if (!expired && mayStillStream(draft, entry)) return
-  changeCells(draft, cell => entryGone(cell, entry, verdict))
+  changeCells(draft, cell => handleEntryGone(cell, entry, verdict))
   update(draft, {
     entries: withoutEntry(entries, entry),
     silentSince: withoutEntry(silentSince, entry),
@@ -115,6 +112,6 @@
 function awaitInventories(draft: KeeperDraft, entries: readonly string[]): void {
   if (entries.length === 0) return
   changeCells(draft, cell => {
-    cell.awaited = new Set([...cell.awaited, ...entries])
+    cell.awaitedInventories = new Set([...cell.awaitedInventories, ...entries])
   })
 }
--- a/src/core/keeper-shares.ts
+++ b/src/core/keeper-shares.ts
@@ -1,8 +1,8 @@
 /** Claims, loses and releases the shares of a keeper. */
 import {createCell} from "./cell-state.js"
-import {cellsOf} from "./configuration.js"
+import {listCells} from "./configuration.js"
 import {type KeeperDraft, update} from "./keeper-draft.js"
-import {learnEntries, tellOwned} from "./keeper-entries.js"
+import {addEntries, sendOwned} from "./keeper-entries.js"
 import {
   CELL_PREFIX,
   cellShare,
@@ -12,9 +12,9 @@
 } from "./keeper-state.js"
 import {
   decideClaims,
-  finishChange,
+  applyChangeResult,
   loseLease,
-  readShares,
+  applyShareRecords,
   releaseShare,
   type ShareChange,
   startChange
@@ -26,7 +26,7 @@
 export function claimShares(draft: KeeperDraft): void {
   if (draft.state.stopping) return
   // An order from an earlier term of this keeper may still arrive at its engine.
-  const idle = cellsOf(draft.state.config).filter(
+  const idle = listCells(draft.state.config).filter(
     cell => !hasPendingWork(draft, cellShare(cell))
   )
   const wanted = idle.map(cellShare)
@@ -40,36 +40,36 @@
 }
 
 /** Applies the records read from the key-value service. */
-export function takeShares(
+export function handleShares(
   draft: KeeperDraft,
   {shares, keepers, entries}: Extract<KeeperEvent, {type: "shares"}>
 ): void {
   update(draft, {
-    ownership: readShares(draft.state.ownership, shares, keepers, draft.now)
+    ownership: applyShareRecords(draft.state.ownership, shares, keepers, draft.now)
   })
-  learnEntries(draft, entries)
+  addEntries(draft, entries)
   syncOwned(draft)
 }
 
 /** Applies the result of a claim or release. */
-export function takeShareChange(
+export function handleShareChange(
   draft: KeeperDraft,
   {change, result}: Extract<KeeperEvent, {type: "share-changed"}>
 ): void {
-  update(draft, {ownership: finishChange(draft.state.ownership, change, result)})
+  update(draft, {ownership: applyChangeResult(draft.state.ownership, change, result)})
   syncOwned(draft)
-  if (draft.state.stopping) handOver(draft)
+  if (draft.state.stopping) releaseIdleShares(draft)
 }
 
 /** Drops all shares after the loss of the lease, until they are claimed again. */
-export function takeLeaseLost(draft: KeeperDraft): void {
+export function handleLeaseLost(draft: KeeperDraft): void {
   update(draft, {ownership: loseLease(draft.state.ownership)})
   syncOwned(draft)
 }
 
 /** Releases the shares without pending work during a planned stop, then stops. */
-export function handOver(draft: KeeperDraft): void {
-  const {owned, claiming: pending} = draft.state.ownership
+export function releaseIdleShares(draft: KeeperDraft): void {
+  const {owned, pendingChanges: pending} = draft.state.ownership
   for (const share of owned.keys()) {
     if (pending.has(share) || hasPendingWork(draft, share)) continue
     const change = releaseShare(draft.state.ownership, share)
@@ -101,7 +101,7 @@
     draft.effects.push({type: "lost-share", share: shard, fence})
     changed = true
   }
-  if (changed) for (const entry of draft.state.links) tellOwned(draft, entry)
+  if (changed) for (const entry of draft.state.links) sendOwned(draft, entry)
 }
 
 function createShare(draft: KeeperDraft, share: string, fence: number): boolean {
@@ -125,5 +125,5 @@
     const register = draft.state.registers.get(share)
     return register !== undefined && register.pending.length + register.writing.length > 0
   }
-  return (draft.state.orders.get(share.slice(CELL_PREFIX.length)) ?? 0) > 0
+  return (draft.state.pendingOrders.get(share.slice(CELL_PREFIX.length)) ?? 0) > 0
 }
--- a/src/core/keeper-state.ts
+++ b/src/core/keeper-state.ts
@@ -49,14 +49,14 @@
   /** Backend servers that are leaving, by the platform's box list. */
   readonly leaving: ReadonlySet<string>
   /** Number of pending orders, by cell. */
-  readonly orders: ReadonlyMap<string, number>
+  readonly pendingOrders: ReadonlyMap<string, number>
   readonly stopping: boolean
   /** Wall-clock time of the last tick, for timestamps in the register. */
-  readonly epoch: number
+  readonly lastTickEpochMs: number
 }
 
 export type KeeperEvent =
-  | {readonly type: "tick"; readonly epoch: number}
+  | {readonly type: "tick"; readonly epochMs: number}
   | {readonly type: "config"; readonly config: Configuration}
   | {readonly type: "lease-renewed"; readonly sentAt: number}
   | {readonly type: "lease-lost"}
--- a/src/core/keeper.ts
+++ b/src/core/keeper.ts
@@ -1,32 +1,42 @@
 /** The transitions of a keeper: `(state, event, now) -> (state, effects)`. */
-import {takeOrderResult, askEngines} from "./cell-orders.js"
-import {addAsk, endRequest, releasePair, takeInventory} from "./cell-requests.js"
+import {handleOrderResult, sendListOrders} from "./cell-orders.js"
+import {
+  queueRequest,
+  handleDone,
+  handleRelease,
+  handleInventory
+} from "./cell-requests.js"
 import {syncEngines} from "./cell-engines.js"
 import {emptyConfiguration, enginesOfCell} from "./configuration.js"
 import {
   changeCell,
   changeRegister,
-  countOrder,
+  adjustPendingOrders,
   type KeeperDraft,
   update
 } from "./keeper-draft.js"
-import {linkDown, linkUp, lookForSilent, takeProbe} from "./keeper-entries.js"
+import {
+  handleLinkDown,
+  handleLinkUp,
+  probeSilentEntries,
+  handleProbeResult
+} from "./keeper-entries.js"
 import {
   claimShares,
-  handOver,
-  takeLeaseLost,
-  takeShareChange,
-  takeShares
+  releaseIdleShares,
+  handleLeaseLost,
+  handleShareChange,
+  handleShares
 } from "./keeper-shares.js"
 import type {KeeperEvent, KeeperOptions, KeeperState, KeeperStep} from "./keeper-state.js"
 import {createOwnership, renewLease} from "./ownership.js"
 import {
-  forgetOldKeys,
+  removeExpiredKeys,
   openRegister,
   reserveKey,
   settleKey,
-  takeUnwritten,
-  takeWritten,
+  handleWriteFailed,
+  handleWriteDone,
   writeRegister
 } from "./register.js"
 import type {EntryMessage} from "../types/messages.js"
@@ -43,9 +53,9 @@
     probedAt: new Map(),
     goneSince: new Map(),
     leaving: new Set(),
-    orders: new Map(),
+    pendingOrders: new Map(),
     stopping: false,
-    epoch: 0
+    lastTickEpochMs: 0
   }
 }
 
@@ -65,7 +75,7 @@
   const {timing} = draft.options
   switch (event.type) {
     case "tick":
-      return handleTick(draft, event.epoch)
+      return handleTick(draft, event.epochMs)
     case "config":
       return update(draft, {config: event.config})
     case "lease-renewed":
@@ -73,29 +83,29 @@
         ownership: renewLease(draft.state.ownership, event.sentAt, timing)
       })
     case "lease-lost":
-      return takeLeaseLost(draft)
+      return handleLeaseLost(draft)
     case "shares":
-      return takeShares(draft, event)
+      return handleShares(draft, event)
     case "share-changed":
-      return takeShareChange(draft, event)
+      return handleShareChange(draft, event)
     case "link-up":
-      return linkUp(draft, event.hello.incarnation, event.hello.role)
+      return handleLinkUp(draft, event.hello.incarnation, event.hello.role)
     case "link-down":
-      return linkDown(draft, event.entry)
+      return handleLinkDown(draft, event.entry)
     case "message":
       return handleMessage(draft, event.from, event.message)
     case "order-result":
       return handleOrderEvent(draft, event)
     case "register-opened":
       return changeRegister(draft, event.shard, event.fence, register =>
-        openRegister(register, event.lines, draft.state.epoch, timing)
+        openRegister(register, event.lines, draft.state.lastTickEpochMs, timing)
       )
     case "register-written":
       return changeRegister(draft, event.shard, event.fence, register =>
-        event.result === "done" ? takeWritten(register) : takeUnwritten(register)
+        event.result === "done" ? handleWriteDone(register) : handleWriteFailed(register)
       )
     case "probed":
-      return takeProbe(draft, event.entry, event.verdict)
+      return handleProbeResult(draft, event.entry, event.verdict)
     case "box-list":
       return update(draft, {leaving: event.leaving})
     case "stop":
@@ -104,22 +114,22 @@
 }
 
 function handleTick(draft: KeeperDraft, epochMs: number): void {
-  update(draft, {epoch: epochMs})
+  update(draft, {lastTickEpochMs: epochMs})
   claimShares(draft)
   for (const id of draft.state.cells.keys()) {
     changeCell(draft, id, cell => {
       syncEngines(cell, enginesOfCell(draft.state.config, id), draft.state.leaving)
-      askEngines(cell)
+      sendListOrders(cell)
     })
   }
   const {timing} = draft.options
   for (const [shard, register] of draft.state.registers) {
     changeRegister(draft, shard, register.fence, current =>
-      writeRegister(forgetOldKeys(current, epochMs, timing), draft.now, timing)
+      writeRegister(removeExpiredKeys(current, epochMs, timing), draft.now, timing)
     )
   }
-  lookForSilent(draft)
-  if (draft.state.stopping) handOver(draft)
+  probeSilentEntries(draft)
+  if (draft.state.stopping) releaseIdleShares(draft)
 }
 
 function handleOrderEvent(
@@ -127,30 +137,36 @@
   event: Extract<KeeperEvent, {type: "order-result"}>
 ): void {
   const {cell, engine, fence, order, result, sentAt} = event
-  countOrder(draft, cell, -1)
+  adjustPendingOrders(draft, cell, -1)
   if (draft.state.cells.get(cell)?.fence !== fence) return
   changeCell(draft, cell, cellDraft =>
-    takeOrderResult(cellDraft, engine, order, result, sentAt, draft.options.timing)
+    handleOrderResult(cellDraft, engine, order, result, sentAt, draft.options.timing)
   )
 }
 
 function handleMessage(draft: KeeperDraft, from: string, message: EntryMessage): void {
   switch (message.t) {
     case "inventory":
-      return changeCell(draft, message.cell, cell => takeInventory(cell, from, message))
+      return changeCell(draft, message.cell, cell => handleInventory(cell, from, message))
     case "ask":
-      return changeCell(draft, message.cell, cell => addAsk(cell, from, message))
+      return changeCell(draft, message.cell, cell => queueRequest(cell, from, message))
     case "withdraw":
       return changeCell(draft, message.cell, cell => {
         cell.waiting.delete(message.request)
       })
     case "done":
-      return changeCell(draft, message.cell, cell => endRequest(cell, from, message))
+      return changeCell(draft, message.cell, cell => handleDone(cell, from, message))
     case "release":
-      return changeCell(draft, message.cell, cell => releasePair(cell, from, message))
+      return changeCell(draft, message.cell, cell => handleRelease(cell, from, message))
     case "reserve":
       return changeRegister(draft, message.shard, undefined, register =>
-        reserveKey(register, from, message, draft.state.epoch, draft.options.timing)
+        reserveKey(
+          register,
+          from,
+          message,
+          draft.state.lastTickEpochMs,
+          draft.options.timing
+        )
       )
     case "settle":
       return changeRegister(draft, message.shard, undefined, register => ({
--- a/src/core/losses.ts
+++ b/src/core/losses.ts
@@ -65,7 +65,7 @@
 }
 
 /** Counts outcomes by route and by spans of `spanS` seconds. 0 means one span. */
-export function tellLosses(lines: readonly LogLine[], spanS: number): LossRow[] {
+export function countLosses(lines: readonly LogLine[], spanS: number): LossRow[] {
   let firstTime = Infinity
   for (const {time} of lines) firstTime = Math.min(firstTime, time)
   const rows = new Map<string, MutableRow>()
--- a/src/core/ownership.ts
+++ b/src/core/ownership.ts
@@ -39,9 +39,9 @@
   /** Shares that this keeper owns, each with its fence. */
   readonly owned: ReadonlyMap<string, number>
   /** Shares with a pending claim or release. */
-  readonly claiming: ReadonlySet<string>
+  readonly pendingChanges: ReadonlySet<string>
   /** Fences claimed under the current lease. Shares from an earlier one are reclaimed. */
-  readonly claimed: ReadonlyMap<string, number>
+  readonly claimedFences: ReadonlyMap<string, number>
   /** Time until which the lease is certainly valid, in monotonic milliseconds. */
   readonly leaseUntil: number
 }
@@ -68,8 +68,8 @@
     keepers: new Map(),
     absentSince: new Map(),
     owned: new Map(),
-    claiming: new Set(),
-    claimed: new Map(),
+    pendingChanges: new Set(),
+    claimedFences: new Map(),
     leaseUntil: 0
   }
 }
@@ -89,7 +89,7 @@
  * it is claimed again; the new revision makes their late claims fail.
  */
 export function loseLease(state: OwnershipState): OwnershipState {
-  return {...state, leaseUntil: 0, owned: new Map(), claimed: new Map()}
+  return {...state, leaseUntil: 0, owned: new Map(), claimedFences: new Map()}
 }
 
 /** Whether the lease is certainly valid now, so that evictions may be ordered. */
@@ -98,7 +98,7 @@
 }
 
 /** Applies the records that were read; shares with another owner are no longer owned. */
-export function readShares(
+export function applyShareRecords(
   state: OwnershipState,
   shares: ReadonlyMap<string, ShareRecord>,
   keepers: ReadonlyMap<string, ProcessRecord>,
@@ -113,7 +113,7 @@
   const owned = new Map<string, number>()
   for (const [share, record] of merged) {
     if (record.owner !== state.self) continue
-    if (state.claimed.get(share) === record.fence) owned.set(share, record.fence)
+    if (state.claimedFences.get(share) === record.fence) owned.set(share, record.fence)
   }
   return {
     ...state,
@@ -151,7 +151,7 @@
   if (!holdsLease(state, now) || !state.keepers.has(state.self)) return claims
   const members = [...state.keepers.keys()]
   for (const share of wanted) {
-    if (state.owned.has(share) || state.claiming.has(share)) continue
+    if (state.owned.has(share) || state.pendingChanges.has(share)) continue
     const record = state.shares.get(share)
     if (record && isHeldByOther(state, record)) continue
     if (claimableAt(state, share, members, timing) > now) continue
@@ -184,29 +184,29 @@
 
 /** Marks a change as pending. */
 export function startChange(state: OwnershipState, change: ShareChange): OwnershipState {
-  const pending = new Set(state.claiming).add(change.share)
-  if (change.owner !== state.self) return {...state, claiming: pending}
+  const pending = new Set(state.pendingChanges).add(change.share)
+  if (change.owner !== state.self) return {...state, pendingChanges: pending}
   return {
     ...state,
-    claiming: pending,
-    claimed: withEntry(state.claimed, change.share, change.fence)
+    pendingChanges: pending,
+    claimedFences: withEntry(state.claimedFences, change.share, change.fence)
   }
 }
 
 /** Applies the result of a change. The next read of the record resolves `unknown`. */
-export function finishChange(
+export function applyChangeResult(
   state: OwnershipState,
   change: ShareChange,
   result: ShareResult
 ): OwnershipState {
-  const pending = withoutItem(state.claiming, change.share)
-  if (result.result !== "done") return {...state, claiming: pending}
+  const pending = withoutItem(state.pendingChanges, change.share)
+  if (result.result !== "done") return {...state, pendingChanges: pending}
   const {share, owner, fence} = change
   // The result of a claim under an earlier lease gives no ownership.
-  const isOwner = owner === state.self && state.claimed.get(share) === fence
+  const isOwner = owner === state.self && state.claimedFences.get(share) === fence
   return {
     ...state,
-    claiming: pending,
+    pendingChanges: pending,
     shares: withEntry(state.shares, share, {owner, fence, revision: result.revision}),
     owned: isOwner
       ? withEntry(state.owned, share, fence)
--- a/src/core/placement-news.ts
+++ b/src/core/placement-news.ts
@@ -6,10 +6,10 @@
  * are bounded for any number of boxes.
  */
 import type {
-  EngineChange,
-  EngineLoads,
-  EngineNews,
-  PlaceNews
+  EngineDelta,
+  PrefillBacklog,
+  EngineSnapshot,
+  SlotUpdate
 } from "../types/box-messages.js"
 import {adapterKey} from "../types/fleet.js"
 import type {Fleet, FleetEngine, Place, ToldEngine} from "./placement-state.js"
@@ -63,9 +63,9 @@
 }
 
 /** Returns the deltas since the last broadcast and marks them as sent. */
-function takeDeltas(fleet: Fleet, now: number): EngineChange[] {
+function takeDeltas(fleet: Fleet, now: number): EngineDelta[] {
   fleet.toldAt = now
-  const deltas: EngineChange[] = []
+  const deltas: EngineDelta[] = []
   for (const engine of fleet.engines.values()) {
     if (!engine.untold && !engine.changed) continue
     engine.changed = false
@@ -77,7 +77,7 @@
 }
 
 /** Returns the delta of an engine since the last broadcast and marks it as sent. */
-function createDelta(engine: FleetEngine, now: number): EngineChange | undefined {
+function createDelta(engine: FleetEngine, now: number): EngineDelta | undefined {
   const previous = engine.told
   engine.told = createBroadcastState(engine)
   const {told: current} = engine
@@ -117,12 +117,12 @@
   version: number,
   readyAt: number,
   now: number
-): PlaceNews {
+): SlotUpdate {
   return {adapter, version, readyInMs: Math.max(0, Math.round(readyAt - now))}
 }
 
 /** Returns the loads of all engines and marks them as sent. Undefined if none changed. */
-function takeChangedLoads(fleet: Fleet, now: number): EngineLoads | undefined {
+function takeChangedLoads(fleet: Fleet, now: number): PrefillBacklog | undefined {
   const order = [...fleet.engines.keys()]
   const sameOrder = order.join() === fleet.toldOrder.join()
   const changed = [...fleet.engines.values()].some(engine => engine.loadChanged)
@@ -135,7 +135,7 @@
 }
 
 /** Returns the queued prompt tokens of all engines, in hundreds, and the prefill rate. */
-export function describeLoads(fleet: Fleet): EngineLoads & {order: readonly string[]} {
+export function describeLoads(fleet: Fleet): PrefillBacklog & {order: readonly string[]} {
   const order = [...fleet.engines.keys()]
   const hundreds = [...fleet.engines.values()].map(({load: queuedTokens}) =>
     Math.round(queuedTokens / LOAD_UNIT_TOKENS)
@@ -163,7 +163,7 @@
     fleet.effects.push({type: "places", changes: deltas, boxes: [box]})
 }
 
-function describeSlot(engine: FleetEngine, adapter: string, now: number): EngineChange[] {
+function describeSlot(engine: FleetEngine, adapter: string, now: number): EngineDelta[] {
   const slot = engine.places.get(adapter)
   if (!slot || slot.phase === "unloading") return []
   const places = [toSlotUpdate(adapter, slot.version, slot.readyAt, now)]
@@ -187,7 +187,7 @@
 }
 
 /** Returns a full snapshot of all engines for a box that connects. */
-export function describeFleet(fleet: Fleet, now: number): EngineNews[] {
+export function describeFleet(fleet: Fleet, now: number): EngineSnapshot[] {
   return [...fleet.engines.values()].map(engine => ({
     engine: engine.id,
     models: [...engine.models],
--- a/src/core/placement-state.ts
+++ b/src/core/placement-state.ts
@@ -1,7 +1,7 @@
 /** The leader's state of its fleet: engines, and requests that wait for weights. */
-import type {EngineChange, EngineLoads, Need} from "../types/box-messages.js"
+import type {EngineDelta, PrefillBacklog, WeightsRequest} from "../types/box-messages.js"
 import type {FleetService} from "../types/fleet.js"
-import type {SendGrant} from "../types/rate-messages.js"
+import type {SendAllowanceGrant} from "../types/rate-messages.js"
 import {createReadingRate, type ReadingRate, type ReadSpan} from "./reading-rate.js"
 import type {FleetIndex} from "./placement-index.js"
 
@@ -122,7 +122,7 @@
 /** A request on a box that waits for weights. */
 export interface WaitingRequest {
   readonly box: string
-  readonly need: Need
+  readonly need: WeightsRequest
   readonly since: number
 }
 
@@ -153,11 +153,11 @@
   /** Deltas for `boxes`, or for all boxes if undefined. */
   | {
       readonly type: "places"
-      readonly changes: readonly EngineChange[]
-      readonly loads?: EngineLoads | undefined
+      readonly changes: readonly EngineDelta[]
+      readonly loads?: PrefillBacklog | undefined
       readonly boxes?: readonly string[]
     }
-  | {readonly type: "loads"; readonly loads: EngineLoads}
+  | {readonly type: "loads"; readonly loads: PrefillBacklog}
   /** Whether a box may retry a request. */
   | {
       readonly type: "retry"
@@ -169,7 +169,7 @@
   | {
       readonly type: "send-grants"
       readonly box: string
-      readonly grants: readonly SendGrant[]
+      readonly grants: readonly SendAllowanceGrant[]
     }
   | {
       readonly type: "refuse"
--- a/src/core/placement-uses.ts
+++ b/src/core/placement-uses.ts
@@ -1,5 +1,5 @@
 /** Applies what boxes report to their leader: weights requests and use of engines. */
-import type {Need, UseChange} from "../types/box-messages.js"
+import type {WeightsRequest, EngineUseDelta} from "../types/box-messages.js"
 import {adapterKey, type BackendRecord, type FleetService} from "../types/fleet.js"
 import {answerNeed} from "./placement-news.js"
 import {noteRead} from "./reading-rate.js"
@@ -94,7 +94,7 @@
 export function takeNeed(
   fleet: Fleet,
   box: string,
-  weightsRequest: Need,
+  weightsRequest: WeightsRequest,
   now: number
 ): void {
   fleet.waiting.set(waitingKey(box, weightsRequest.request), {
@@ -116,7 +116,7 @@
 export function takeUses(
   fleet: Fleet,
   box: string,
-  deltas: readonly UseChange[],
+  deltas: readonly EngineUseDelta[],
   now: number
 ): void {
   const uses = fleet.uses.get(box) ?? new Map<string, BoxUse>()
--- a/src/core/policy.ts
+++ b/src/core/policy.ts
@@ -68,4 +68,4 @@
 }
 
 /** Half-life of the decayed request count of an adapter. */
-export const HEAT_HALF_LIFE_MS = 60_000
+export const POPULARITY_HALF_LIFE_MS = 60_000
--- a/src/core/rate-pacer.ts
+++ b/src/core/rate-pacer.ts
@@ -7,7 +7,11 @@
  * the rate also counts. A new leader starts with empty buckets. Since the leader before
  * it granted no more than the rate, no state has to be handed over.
  */
-import type {SendAsk, SendGrant, SentLately} from "../types/rate-messages.js"
+import type {
+  SendAllowanceRequest,
+  SendAllowanceGrant,
+  SentCounts
+} from "../types/rate-messages.js"
 import {SENT_STEP_MS, SPAN_MS} from "./recent-sends.js"
 import {USE_MS} from "./send-allowances.js"
 
@@ -70,7 +74,11 @@
   constructor(private readonly rateOf_: (server: string) => number | undefined) {}
 
   /** Answers a request of a box. */
-  ask(box: string, {server, ask, count, rank, waitMs}: SendAsk, now: number): SendGrant {
+  ask(
+    box: string,
+    {server, ask, count, rank, waitMs}: SendAllowanceRequest,
+    now: number
+  ): SendAllowanceGrant {
     const advertised = this.rateOf_(server)
     if (advertised === undefined) return {server, ask, count}
     const perSecond = Math.max(MIN_PER_SECOND, advertised)
@@ -94,7 +102,7 @@
   }
 
   /** Counts what a box sent to a server before it learned of the rate. */
-  noteSent({server, counts}: SentLately, now: number): void {
+  noteSent({server, counts}: SentCounts, now: number): void {
     const perSecond = this.rateOf_(server)
     if (perSecond === undefined) return
     const bucket = this.fill(server, Math.max(MIN_PER_SECOND, perSecond), now)
--- a/src/core/register.ts
+++ b/src/core/register.ts
@@ -38,13 +38,13 @@
    * Messages deferred until the log is read, in order of arrival, as a settle may follow
    * its reserve.
    */
-  readonly early: readonly (DeferredReserve | Settle)[]
+  readonly deferred: readonly (DeferredReserve | Settle)[]
   /** Lines not yet written, oldest first. */
   readonly pending: readonly RegisterLine[]
   /** Lines of the pending write. */
   readonly writing: readonly RegisterLine[]
   /** The entry that waits for each attempt. */
-  readonly askers: ReadonlyMap<string, string>
+  readonly waitingEntries: ReadonlyMap<string, string>
   readonly lastWriteAt: number
 }
 
@@ -70,10 +70,10 @@
     fence,
     ready: false,
     keys: new Map(),
-    early: [],
+    deferred: [],
     pending: [],
     writing: [],
-    askers: new Map(),
+    waitingEntries: new Map(),
     lastWriteAt: 0
   }
   return {state, effects: [{type: "open-register", shard, fence}]}
@@ -92,7 +92,7 @@
     keys.set(line.key, {...line, durable: true, inherited: true})
   }
   const opened = {...state, ready: true, keys, early: []}
-  return state.early.reduce<RegisterStep>(
+  return state.deferred.reduce<RegisterStep>(
     (step, message) => chain(step, next => applyEarly(next, message, epochMs, timing)),
     {state: opened, effects: []}
   )
@@ -117,7 +117,7 @@
   timing: Timing
 ): RegisterStep {
   if (!state.ready)
-    return withoutEffects({...state, early: [...state.early, {entry, reserve}]})
+    return withoutEffects({...state, deferred: [...state.deferred, {entry, reserve}]})
   const record = state.keys.get(reserve.key)
   const fresh =
     record && epochMs - record.at <= timing.keyRetentionMs ? record : undefined
@@ -142,7 +142,7 @@
   if (!record.durable) {
     return withoutEffects({
       ...state,
-      askers: new Map(state.askers).set(reserve.attempt, entry)
+      waitingEntries: new Map(state.waitingEntries).set(reserve.attempt, entry)
     })
   }
   return {state, effects: [sendReserved(entry, reserve.key, reserve.attempt)]}
@@ -159,23 +159,23 @@
     ...state,
     keys: new Map(state.keys).set(key, {...line, durable: false, inherited: false}),
     pending: [...state.pending, line],
-    askers: new Map(state.askers).set(attempt, entry)
+    waitingEntries: new Map(state.waitingEntries).set(attempt, entry)
   })
 }
 
 /** Records the end of an attempt. The next write persists it; no entry waits for it. */
 export function settleKey(state: RegisterState, settle: Settle): RegisterState {
-  if (!state.ready) return {...state, early: [...state.early, settle]}
+  if (!state.ready) return {...state, deferred: [...state.deferred, settle]}
   const record = state.keys.get(settle.key)
   // The first recorded end is final.
   if (record?.attempt !== settle.attempt || record.state !== "started") return state
   const {key, attempt, body, at} = record
   const line: RegisterLine = {key, attempt, body, state: settle.state, at}
-  const waiting = new Map(state.askers)
+  const waiting = new Map(state.waitingEntries)
   waiting.delete(attempt)
   return {
     ...state,
-    askers: waiting,
+    waitingEntries: waiting,
     keys: new Map(state.keys).set(key, {
       ...line,
       durable: record.durable,
@@ -203,9 +203,9 @@
 }
 
 /** Handles a durable write: grants the keys of its lines to the waiting entries. */
-export function takeWritten(state: RegisterState): RegisterStep {
+export function handleWriteDone(state: RegisterState): RegisterStep {
   const keys = new Map(state.keys)
-  const waiting = new Map(state.askers)
+  const waiting = new Map(state.waitingEntries)
   const effects: RegisterEffect[] = []
   for (const {key, attempt} of state.writing) {
     const record = keys.get(key)
@@ -215,7 +215,7 @@
     waiting.delete(attempt)
     effects.push(sendReserved(entry, key, attempt))
   }
-  return {state: {...state, keys, askers: waiting, writing: []}, effects}
+  return {state: {...state, keys, waitingEntries: waiting, writing: []}, effects}
 }
 
 /**
@@ -223,9 +223,9 @@
  * attempts did not run. The next write corrects their lines, in case this one took
  * effect.
  */
-export function takeUnwritten(state: RegisterState): RegisterStep {
+export function handleWriteFailed(state: RegisterState): RegisterStep {
   const keys = new Map(state.keys)
-  const waiting = new Map(state.askers)
+  const waiting = new Map(state.waitingEntries)
   const effects: RegisterEffect[] = []
   const corrections: RegisterLine[] = []
   for (const line of state.writing) {
@@ -241,11 +241,11 @@
     effects.push(sendKnown(entry, line.key, line.attempt, "no-record"))
   }
   const pending = [...corrections, ...state.pending]
-  return {state: {...state, keys, askers: waiting, writing: [], pending}, effects}
+  return {state: {...state, keys, waitingEntries: waiting, writing: [], pending}, effects}
 }
 
 /** Removes the keys past their retention time. */
-export function forgetOldKeys(
+export function removeExpiredKeys(
   state: RegisterState,
   epochMs: number,
   timing: Timing
--- a/src/core/send-allowances.ts
+++ b/src/core/send-allowances.ts
@@ -2,7 +2,7 @@
  * Allowances of a box for sends to rate-limited servers, and its requests for more of
  * them. Without a leader a box sends within its fallback share of the rate.
  */
-import type {SendAsk, SendGrant} from "../types/rate-messages.js"
+import type {SendAllowanceRequest, SendAllowanceGrant} from "../types/rate-messages.js"
 
 /** An allowance can be used until this time after it was requested. */
 export const USE_MS = 250
@@ -129,7 +129,7 @@
     {count, rank, waitMs}: SendNeed,
     isDue: boolean,
     now: number
-  ): SendAsk | undefined {
+  ): SendAllowanceRequest | undefined {
     const holding = this.holdingOf(server, now)
     this.checkTimeout(holding, now)
     if (holding.open || Math.max(holding.fullUntil, holding.silentUntil) > now) {
@@ -150,7 +150,10 @@
    * Handles the leader's answer. Returns false if it does not belong to the open request;
    * otherwise waiting requests have to be evaluated again.
    */
-  take({server, ask, count, inMs = 0, roomInMs}: SendGrant, now: number): boolean {
+  take(
+    {server, ask, count, inMs = 0, roomInMs}: SendAllowanceGrant,
+    now: number
+  ): boolean {
     const holding = this.holdings_.get(server)
     const open = holding?.open
     if (!holding || open?.ask !== ask) return false
--- a/src/core/server-notices.ts
+++ b/src/core/server-notices.ts
@@ -3,7 +3,7 @@
  * back-off, or advertises a rate limit for all boxes together. A notice is newer than any
  * list of servers. Only the next incarnation of a server that leaves is usable again.
  */
-import type {RateNews} from "../types/rate-messages.js"
+import type {RateReport} from "../types/rate-messages.js"
 import {noteSaidLeaving} from "./backend-list.js"
 import {pacedForMs, tellSentLately} from "./box-pacing.js"
 import {type BoxServing, note} from "./box-state.js"
@@ -88,7 +88,7 @@
 /** Applies the rate limits that another box received from servers. */
 export function takeRateNews(
   box: BoxServing,
-  updates: readonly RateNews[],
+  updates: readonly RateReport[],
   source: "box" | "leader",
   now: number
 ): void {
--- a/src/core/server-rates.ts
+++ b/src/core/server-rates.ts
@@ -5,7 +5,7 @@
  * unknown, the lower rate applies. Only an answer to a request that was sent after the
  * rate was last received ends it.
  */
-import type {RateNews} from "../types/rate-messages.js"
+import type {RateReport} from "../types/rate-messages.js"
 
 /** Rate limit that a server advertised. Times are of the box's clock. */
 export interface RateWord {
@@ -60,7 +60,7 @@
    * Applies a rate that another box received. Returns `stands` if the rate known here
    * takes precedence and differs.
    */
-  takeNews(news: RateNews, now: number): "changed" | "known" | "stands" {
+  takeNews(news: RateReport, now: number): "changed" | "known" | "stands" {
     const heardAt = now - news.heardAgoMs
     const sentAt = now - news.sentAgoMs - MAX_DELAY_MS
     const {server, perSecond} = news
@@ -71,7 +71,7 @@
   /**
    * Returns the message about a server for other boxes. Undefined if nothing is known.
    */
-  tell(server: string, now: number): RateNews | undefined {
+  tell(server: string, now: number): RateReport | undefined {
     const rate = this.rates_.get(server)
     if (!rate) return undefined
     const {perSecond, sentAt, heardAt} = rate
--- a/src/core/serving-events.ts
+++ b/src/core/serving-events.ts
@@ -1,12 +1,12 @@
 /** Events and effects of a box, as a serving box and as the leader. */
 import type {
-  EngineChange,
-  EngineLoads,
-  EngineNews,
-  Need,
-  UseChange
+  EngineDelta,
+  PrefillBacklog,
+  EngineSnapshot,
+  WeightsRequest,
+  EngineUseDelta
 } from "../types/box-messages.js"
-import type {CrashChanges} from "../types/crash-messages.js"
+import type {CrashUpdate} from "../types/crash-messages.js"
 import type {BackendRecord, FleetConfig} from "../types/fleet.js"
 import type {Reading} from "./backend-list.js"
 import type {CrashSource} from "./box-crashes.js"
@@ -14,11 +14,16 @@
 import type {Arrival, BoxEffect} from "./box-state.js"
 import type {KnownEra} from "./eras.js"
 import type {
-  AllowanceAsk,
+  AllowanceRequest,
   AllowanceGrant,
-  UsageOutlooks
+  UsageProjections
 } from "../types/usage-messages.js"
-import type {RateNews, SendAsk, SendGrant, SentLately} from "../types/rate-messages.js"
+import type {
+  RateReport,
+  SendAllowanceRequest,
+  SendAllowanceGrant,
+  SentCounts
+} from "../types/rate-messages.js"
 import type {ServerNotice} from "./server-notices.js"
 import type {LedgerEffect} from "./usage-ledger.js"
 import type {EngineReport, FleetEffect, OrderResult} from "./placement-state.js"
@@ -83,13 +88,13 @@
    * reads may be restored ones.
    */
   | {readonly type: "copied"; readonly until: number}
-  | {readonly type: "engines"; readonly engines: readonly EngineNews[]}
+  | {readonly type: "engines"; readonly engines: readonly EngineSnapshot[]}
   | {
       readonly type: "places"
-      readonly changes: readonly EngineChange[]
-      readonly loads?: EngineLoads | undefined
+      readonly changes: readonly EngineDelta[]
+      readonly loads?: PrefillBacklog | undefined
     }
-  | {readonly type: "loads"; readonly loads: EngineLoads}
+  | {readonly type: "loads"; readonly loads: PrefillBacklog}
   | {
       readonly type: "versions"
       readonly versions: readonly (readonly [adapter: string, version: number])[]
@@ -118,11 +123,11 @@
   /** Advertised rate limits that other boxes received. */
   | {
       readonly type: "rates"
-      readonly news: readonly RateNews[]
+      readonly news: readonly RateReport[]
       readonly source: "box" | "leader"
     }
   /** The leader's answers to send requests to rate-limited servers. */
-  | {readonly type: "send-grants"; readonly grants: readonly SendGrant[]}
+  | {readonly type: "send-grants"; readonly grants: readonly SendAllowanceGrant[]}
   /**
    * Result of a test connection to a server. Undefined if it was neither established nor
    * refused.
@@ -135,7 +140,7 @@
   /** Updates from other processes about requests that crash servers. */
   | {
       readonly type: "crashes"
-      readonly changes: CrashChanges
+      readonly changes: CrashUpdate
       readonly source: CrashSource
     }
   | {readonly type: "stop"}
@@ -149,9 +154,13 @@
 export type FleetEvent =
   | {readonly type: "lead"}
   | {readonly type: "lead-over"}
-  | {readonly type: "need"; readonly box: string; readonly need: Need}
+  | {readonly type: "need"; readonly box: string; readonly need: WeightsRequest}
   | {readonly type: "drop"; readonly box: string; readonly request: string}
-  | {readonly type: "uses"; readonly box: string; readonly changes: readonly UseChange[]}
+  | {
+      readonly type: "uses"
+      readonly box: string
+      readonly changes: readonly EngineUseDelta[]
+    }
   | {
       readonly type: "missing"
       readonly engine: string
@@ -170,10 +179,10 @@
       readonly type: "usage"
       readonly box: string
       readonly ask: number
-      readonly entries: readonly AllowanceAsk[]
+      readonly entries: readonly AllowanceRequest[]
     }
   /** The usage projection that earlier leaders stored. Undefined if it is not known. */
-  | {readonly type: "usage-read"; readonly outlooks: UsageOutlooks | undefined}
+  | {readonly type: "usage-read"; readonly outlooks: UsageProjections | undefined}
   /**
    * Result of storing the usage projection. If `ok` is false, it may or may not be
    * stored.
@@ -187,12 +196,12 @@
   | {
       readonly type: "send-asks"
       readonly box: string
-      readonly asks: readonly SendAsk[]
+      readonly asks: readonly SendAllowanceRequest[]
     }
   | {
       readonly type: "sent-lately"
       readonly box: string
-      readonly sent: readonly SentLately[]
+      readonly sent: readonly SentCounts[]
     }
   | {readonly type: "box-gone"; readonly box: string}
   | {
--- a/src/core/serving.ts
+++ b/src/core/serving.ts
@@ -38,7 +38,7 @@
 import {takeNotice, takeRateNews} from "./server-notices.js"
 import {buildRouteTable} from "./route-table.js"
 import {listEngines, type RoutedState, takeFleet} from "./serving-fleet.js"
-import type {SendGrant} from "../types/rate-messages.js"
+import type {SendAllowanceGrant} from "../types/rate-messages.js"
 import type {
   FleetEvent,
   RoutedEffect,
@@ -164,7 +164,7 @@
  */
 function applySendGrants(
   serving: BoxServing,
-  grants: readonly SendGrant[],
+  grants: readonly SendAllowanceGrant[],
   now: number
 ): void {
   const changed = grants.filter(grant => serving.allowances.take(grant, now))
--- a/src/core/timeline.ts
+++ b/src/core/timeline.ts
@@ -72,7 +72,7 @@
 }
 
 /** Returns the entries in the order of their first lines. */
-export function tellTimeline(lines: readonly LogLine[]): TimelineEntry[] {
+export function buildTimeline(lines: readonly LogLine[]): TimelineEntry[] {
   const relevant = lines
     .filter(({event}) => SUBJECTS.has(event))
     .sort((a, b) => a.time - b.time)
--- a/src/core/timing.ts
+++ b/src/core/timing.ts
@@ -69,7 +69,7 @@
 }
 
 /** Descriptions for the settings reference. */
-export const TIMING_TEXTS: Readonly<Record<keyof Timing, string>> = {
+export const TIMING_DESCRIPTIONS: Readonly<Record<keyof Timing, string>> = {
   leaseTtlMs: "Time to live of a keeper's lease in the key-value service",
   renewMs: "Interval between renewals of the lease",
   leaseMarginMs:
--- a/src/core/usage-ledger.ts
+++ b/src/core/usage-ledger.ts
@@ -9,9 +9,9 @@
  * the proof in `usage-limits.ts` holds over any number of leaders.
  */
 import type {
-  AllowanceAsk,
+  AllowanceRequest,
   AllowanceGrant,
-  UsageOutlooks
+  UsageProjections
 } from "../types/usage-messages.js"
 import {CountedUsage, STEP_MS} from "./counted-usage.js"
 import {ALLOWANCE_MS, countedMs, type UsageOptions} from "./usage-limits.js"
@@ -61,7 +61,7 @@
 interface PendingRequest {
   readonly box: string
   readonly ask: number
-  readonly entry: AllowanceAsk
+  readonly entry: AllowanceRequest
   readonly at: number
 }
 
@@ -76,7 +76,7 @@
       readonly type: "save-usage"
       /** Identifies the result of the write. */
       readonly save: number
-      readonly outlooks: UsageOutlooks
+      readonly outlooks: UsageProjections
     }
   | {
       readonly type: "allow"
@@ -95,7 +95,7 @@
   private phase_: "new" | "reading" | "known" = "new"
   private closed_ = false
   private lastSave_ = 0
-  private saving_: UsageOutlooks | undefined
+  private saving_: UsageProjections | undefined
   private savedAt_ = -Infinity
   private checkedAt_ = -Infinity
   private pending_: PendingRequest[] = []
@@ -121,7 +121,7 @@
    * is undefined, the stored projection is from an older backup, and all limits may be
    * used up.
    */
-  takeStored(outlooks: UsageOutlooks | undefined, now: number): void {
+  takeStored(outlooks: UsageProjections | undefined, now: number): void {
     if (this.phase_ === "known") return
     this.phase_ = "known"
     if (outlooks) this.addStored(outlooks, now)
@@ -138,7 +138,7 @@
     this.saving_ = undefined
   }
 
-  private addStored(outlooks: UsageOutlooks, now: number): void {
+  private addStored(outlooks: UsageProjections, now: number): void {
     for (const [organisation, projection] of Object.entries(outlooks)) {
       const {counted} = this.accountOf(organisation)
       projection.forEach((amount, step) => {
@@ -162,7 +162,12 @@
   }
 
   /** Handles a message of a box: its usage and its allowance requests. */
-  take(box: string, ask: number, entries: readonly AllowanceAsk[], now: number): void {
+  take(
+    box: string,
+    ask: number,
+    entries: readonly AllowanceRequest[],
+    now: number
+  ): void {
     this.begin()
     for (const entry of entries) this.recordUsage(box, entry, now)
     this.answerRequests(
@@ -219,7 +224,7 @@
    * Records what a box used and returned. Usage counts from its report on; returned
    * allowances stop counting.
    */
-  private recordUsage(box: string, entry: AllowanceAsk, now: number): void {
+  private recordUsage(box: string, entry: AllowanceRequest, now: number): void {
     const {organisation, used, returned} = entry
     const {counted, held} = this.accountOf(organisation)
     const span = countedMs(this.options_)
@@ -259,7 +264,7 @@
     }
   }
 
-  private decide({organisation, need, want}: AllowanceAsk, now: number): Decision {
+  private decide({organisation, need, want}: AllowanceRequest, now: number): Decision {
     const limit = this.limits_().get(organisation)
     if (limit === undefined) return {organisation, amount: 0}
     if (this.phase_ !== "known" || this.closed_) return undefined
--- a/src/core/usage-stock.ts
+++ b/src/core/usage-stock.ts
@@ -2,7 +2,7 @@
  * The allowance pool of a box: allowances that it holds of organisations' limits, and
  * what it still has to report to its leader.
  */
-import type {AllowanceAsk, AllowanceGrant} from "../types/usage-messages.js"
+import type {AllowanceRequest, AllowanceGrant} from "../types/usage-messages.js"
 import {ALLOWANCE_MS} from "./usage-limits.js"
 
 /**
@@ -152,7 +152,7 @@
   collect(
     needs: ReadonlyMap<string, UsageNeed>,
     now: number
-  ): {readonly ask: number; readonly entries: readonly AllowanceAsk[]} | undefined {
+  ): {readonly ask: number; readonly entries: readonly AllowanceRequest[]} | undefined {
     if (this.awaitsAnswer_ && now < this.retryAt_) return undefined
     for (const organisation of needs.keys()) this.holdingOf(organisation, now)
     const isReportDue = now - this.reportedAt_ >= REPORT_INTERVAL_MS
@@ -211,7 +211,7 @@
     holding,
     need,
     want
-  }: WantedAmounts & {organisation: string; holding: Holding}): AllowanceAsk[] {
+  }: WantedAmounts & {organisation: string; holding: Holding}): AllowanceRequest[] {
     const {used, returned} = holding
     if (want === 0 && used + returned === 0) return []
     Object.assign(holding, {used: 0, returned: 0})
--- a/src/types/box-frames.ts
+++ b/src/types/box-frames.ts
@@ -111,7 +111,7 @@
 ])
 
 /** Parses a message from a box. Undefined if the value is no such message. */
-export function readToLeader(value: unknown): ToLeader | undefined {
+export function parseToLeader(value: unknown): ToLeader | undefined {
   const {success, data} = toLeader.safeParse(value)
   return success ? (data as ToLeader) : undefined
 }
--- a/src/types/box-messages.ts
+++ b/src/types/box-messages.ts
@@ -1,14 +1,19 @@
 /** Messages between boxes and their leader. */
-import type {CrashChanges} from "./crash-messages.js"
-import type {RateNews, SendAsk, SendGrant, SentLately} from "./rate-messages.js"
-import type {AllowanceAsk, AllowanceGrant} from "./usage-messages.js"
+import type {CrashUpdate} from "./crash-messages.js"
+import type {
+  RateReport,
+  SendAllowanceRequest,
+  SendAllowanceGrant,
+  SentCounts
+} from "./rate-messages.js"
+import type {AllowanceRequest, AllowanceGrant} from "./usage-messages.js"
 import type {BackendRecord, FleetConfig} from "./fleet.js"
 
 /**
  * The era of the key-value service, as a box reports it. The era is a counter that goes
  * up each time the service is restored from an older backup.
  */
-export interface ToldEra {
+export interface ReportedEra {
   readonly era: number
   /** Time since the era began. */
   readonly ageMs: number
@@ -17,7 +22,7 @@
 }
 
 /** The state of an adapter on an engine. */
-export interface PlaceNews {
+export interface SlotUpdate {
   /** Key of the adapter, `model/adapter`. */
   readonly adapter: string
   readonly version: number
@@ -26,19 +31,19 @@
 }
 
 /** The full state of one engine; replaces what was sent before. */
-export interface EngineNews {
+export interface EngineSnapshot {
   readonly engine: string
   readonly models: readonly string[]
-  readonly places: readonly PlaceNews[]
+  readonly places: readonly SlotUpdate[]
 }
 
 /** The changes of one engine since the last update that was sent. */
-export interface EngineChange {
+export interface EngineDelta {
   readonly engine: string
   /** Undefined if unchanged. */
   readonly models?: readonly string[]
   /** New or changed slots. */
-  readonly places: readonly PlaceNews[]
+  readonly places: readonly SlotUpdate[]
   /** Adapters that the engine no longer holds. */
   readonly gone: readonly string[]
 }
@@ -46,7 +51,7 @@
 /**
  * Prompt tokens queued at engines, by position in an engine list that all boxes share.
  */
-export interface EngineLoads {
+export interface PrefillBacklog {
   /** The engine list. Undefined if it is the same as in the message before. */
   readonly order?: readonly string[]
   /** Prompt tokens to be prefilled at each engine, from all boxes, in hundreds. */
@@ -58,7 +63,7 @@
 }
 
 /** A request that waits until its weights are loaded. */
-export interface Need {
+export interface WeightsRequest {
   readonly request: string
   readonly service: string
   readonly model: string
@@ -76,7 +81,7 @@
 }
 
 /** Usage of an adapter on an engine by one box since its last report. */
-export interface UseChange {
+export interface EngineUseDelta {
   readonly engine: string
   /** Undefined means the base model alone. */
   readonly adapter?: string
@@ -105,7 +110,7 @@
       /** Processor capacity in cores. Undefined if not reported. */
       readonly capacity?: number | undefined
     }
-  | AskNews
+  | StoreSnapshotRequest
   /**
    * Requests the configuration, because the box could not read the version that was
    * named.
@@ -116,9 +121,9 @@
    * leader.
    */
   | {readonly t: "ask-all"; readonly configVersion: number}
-  | {readonly t: "need"; readonly need: Need}
+  | {readonly t: "need"; readonly need: WeightsRequest}
   | {readonly t: "drop"; readonly request: string}
-  | {readonly t: "use"; readonly changes: readonly UseChange[]}
+  | {readonly t: "use"; readonly changes: readonly EngineUseDelta[]}
   /** An engine lacked the adapter of a request. `late`: it may still be loading. */
   | {
       readonly t: "missing"
@@ -132,15 +137,15 @@
   | {
       readonly t: "usage"
       readonly ask: number
-      readonly entries: readonly AllowanceAsk[]
+      readonly entries: readonly AllowanceRequest[]
     }
   /** Reports requests suspected of crashing servers, and cleared ones. */
-  | {readonly t: "crashes"; readonly changes: CrashChanges}
+  | {readonly t: "crashes"; readonly changes: CrashUpdate}
   /** Reports the rate limit that a server advertised for all boxes together. */
-  | {readonly t: "rate"; readonly news: RateNews}
+  | {readonly t: "rate"; readonly news: RateReport}
   /** Reports recent sends to servers that have advertised a rate limit since then. */
-  | {readonly t: "sent-lately"; readonly sent: readonly SentLately[]}
-  | {readonly t: "send-asks"; readonly asks: readonly SendAsk[]}
+  | {readonly t: "sent-lately"; readonly sent: readonly SentCounts[]}
+  | {readonly t: "send-asks"; readonly asks: readonly SendAllowanceRequest[]}
   /** Answer to `renew`. `known`: the lease still existed and was renewed. */
   | {readonly t: "renewed"; readonly ask: number; readonly known: boolean}
   | {readonly t: "pong"}
@@ -149,7 +154,7 @@
  * When a message was sent, by the sender's clock. Undefined if the sender does not report
  * it.
  */
-export interface Sent {
+export interface SentTimestamp {
   readonly sentAt?: number
 }
 
@@ -169,30 +174,30 @@
       readonly gone: readonly string[]
       /** Age of the store read that it is based on, at the time of sending. */
       readonly ageMs: number
-    } & Sent)
-  | StoreNews
+    } & SentTimestamp)
+  | StoreSnapshot
   | {
       readonly t: "versions"
       readonly versions: readonly (readonly [adapter: string, version: number])[]
     }
   /** A full snapshot of all engines, at the start of a link. */
-  | {readonly t: "engines"; readonly engines: readonly EngineNews[]}
+  | {readonly t: "engines"; readonly engines: readonly EngineSnapshot[]}
   /**
    * Changes since then. Links are ordered and lossless, so deltas need no sequence
    * number.
    */
   | {
       readonly t: "places"
-      readonly changes: readonly EngineChange[]
+      readonly changes: readonly EngineDelta[]
       /**
        * Sent along when there are many boxes, since each message costs more than its
        * bytes.
        */
-      readonly loads?: EngineLoads | undefined
+      readonly loads?: PrefillBacklog | undefined
     }
-  | {readonly t: "loads"; readonly loads: EngineLoads}
+  | {readonly t: "loads"; readonly loads: PrefillBacklog}
   /** Reports of requests that crash servers. `whole`: all reports that the leader has. */
-  | {readonly t: "crashes"; readonly changes: CrashChanges; readonly whole: boolean}
+  | {readonly t: "crashes"; readonly changes: CrashUpdate; readonly whole: boolean}
   /**
    * Asks the box to renew the leader's lease, as the key-value service rejects the
    * leader.
@@ -208,9 +213,9 @@
   /**
    * Rate limits that servers advertised for all boxes together, as reported by some box.
    */
-  | {readonly t: "rates"; readonly news: readonly RateNews[]}
+  | {readonly t: "rates"; readonly news: readonly RateReport[]}
   /** The answer to `send-asks`. */
-  | {readonly t: "send-grants"; readonly grants: readonly SendGrant[]}
+  | {readonly t: "send-grants"; readonly grants: readonly SendAllowanceGrant[]}
   /** The answer to `ask-retry`. */
   | {readonly t: "may-retry"; readonly request: string; readonly allowed: boolean}
   /** Heartbeat. */
@@ -233,8 +238,8 @@
       /** Largest capacity of any box in cores. Undefined if no box reports it. */
       readonly topCapacity?: number | undefined
       /** Undefined if the service reports no era. */
-      readonly storeEra?: ToldEra | undefined
-    } & Sent)
+      readonly storeEra?: ReportedEra | undefined
+    } & SentTimestamp)
 
 /** The leader, as stored under its key. */
 export interface LeaderRecord {
@@ -247,7 +252,7 @@
 }
 
 /** Sent by a leader, or a box without one, that cannot read the store itself. */
-export interface AskNews {
+export interface StoreSnapshotRequest {
   readonly t: "ask-news"
   readonly configVersion: number
   /** Age of its own store snapshot. Infinity means that it has none. */
@@ -255,7 +260,7 @@
 }
 
 /** A store snapshot, sent to a box that cannot read the store. */
-export interface StoreNews {
+export interface StoreSnapshot {
   readonly t: "news"
   /** Time since the store was read. */
   readonly ageMs: number
@@ -268,7 +273,7 @@
   /** The leader that the sender follows, or the sender itself. */
   readonly leader?: LeaderRecord
   /** Undefined if the service reports no era. */
-  readonly storeEra?: ToldEra | undefined
+  readonly storeEra?: ReportedEra | undefined
 }
 
 export type BoxMessage = ToLeader | FromLeader
--- a/src/types/crash-messages.ts
+++ b/src/types/crash-messages.ts
@@ -1,7 +1,7 @@
 /** Messages between boxes about requests that crash backend servers. */
 
 /** Servers that crashed while a request was in progress there. */
-export interface CrashNews {
+export interface CrashReport {
   /** Hash that identifies the request. */
   readonly fingerprint: string
   /** Incarnations of the crashed servers, oldest first. */
@@ -13,8 +13,8 @@
 }
 
 /** New and changed reports. Merging them gives the same result in any order. */
-export interface CrashChanges {
-  readonly records: readonly CrashNews[]
+export interface CrashUpdate {
+  readonly records: readonly CrashReport[]
   /**
    * Fingerprints of requests that a server answered completely, so they cause no crash.
    */
--- a/src/types/fleet.ts
+++ b/src/types/fleet.ts
@@ -92,7 +92,7 @@
 }
 
 /** A model that an engine reports as loaded, with the versions of its adapters. */
-export interface HeldModel {
+export interface LoadedModel {
   readonly name: string
   readonly adapters: ReadonlyMap<string, number>
 }
@@ -115,7 +115,7 @@
   readonly address: string
   readonly dataCentre: string
   readonly leaving: boolean
-  readonly models: readonly HeldModel[]
+  readonly models: readonly LoadedModel[]
 }
 
 /** The weights that a request needs. */
--- a/src/types/messages.ts
+++ b/src/types/messages.ts
@@ -43,7 +43,7 @@
   readonly held: readonly HeldPair[]
 }
 
-export interface Ask {
+export interface GrantRequest {
   readonly t: "ask"
   readonly cell: string
   readonly request: string
@@ -116,7 +116,15 @@
 }
 
 export type EntryMessage =
-  Inventory | Ask | Withdraw | Done | Release | Reserve | Settle | Ping | FetchConfig
+  | Inventory
+  | GrantRequest
+  | Withdraw
+  | Done
+  | Release
+  | Reserve
+  | Settle
+  | Ping
+  | FetchConfig
 
 export interface Grant {
   readonly t: "grant"
@@ -165,7 +173,7 @@
   readonly attempt: string
 }
 
-export interface Known {
+export interface KeyStatus {
   readonly t: "known"
   readonly key: string
   readonly attempt: string
@@ -186,6 +194,6 @@
 }
 
 export type KeeperMessage =
-  Grant | Refuse | Recall | Owned | Reserved | Known | Ping | FetchConfig | ConfigPage
+  Grant | Refuse | Recall | Owned | Reserved | KeyStatus | Ping | FetchConfig | ConfigPage
 
 export type PeerMessage = Hello | EntryMessage | KeeperMessage
--- a/src/types/rate-messages.ts
+++ b/src/types/rate-messages.ts
@@ -1,7 +1,7 @@
 /** Messages about rate limits that backend servers advertise for all boxes together. */
 
 /** The rate limit that a server advertised to a box. */
-export interface RateNews {
+export interface RateReport {
   /** Incarnation of the server. */
   readonly server: string
   /** Requests per second. Undefined if the server no longer advertises a limit. */
@@ -13,14 +13,14 @@
 }
 
 /** Numbers of requests that a box recently sent to a server. */
-export interface SentLately {
+export interface SentCounts {
   readonly server: string
   /** By steps of `SENT_STEP_MS`, newest first. */
   readonly counts: readonly number[]
 }
 
 /** A box requests an allowance to send requests to a rate-limited server. */
-export interface SendAsk {
+export interface SendAllowanceRequest {
   readonly server: string
   /** Number of the request, repeated in the answer. */
   readonly ask: number
@@ -32,7 +32,7 @@
 }
 
 /** The leader's answer to a request for send allowances. */
-export interface SendGrant {
+export interface SendAllowanceGrant {
   readonly server: string
   readonly ask: number
   /** Number of requests that may be sent. */
--- a/src/types/settings.ts
+++ b/src/types/settings.ts
@@ -1,6 +1,6 @@
 /** The settings of a box, in one JSON file for all its processes. */
 import * as z from "zod"
-import {DEFAULT_TIMING, TIMING_TEXTS} from "../core/timing.js"
+import {DEFAULT_TIMING, TIMING_DESCRIPTIONS} from "../core/timing.js"
 
 export const socketAddress = z
   .string()
@@ -26,7 +26,9 @@
     Object.fromEntries(
       Object.entries(DEFAULT_TIMING).map(([name, value]) => [
         name,
-        ms.default(value).describe(TIMING_TEXTS[name as keyof typeof DEFAULT_TIMING])
+        ms
+          .default(value)
+          .describe(TIMING_DESCRIPTIONS[name as keyof typeof DEFAULT_TIMING])
       ])
     ) as {[K in keyof typeof DEFAULT_TIMING]: z.ZodDefault<z.ZodNumber>}
   )
--- a/src/types/usage-messages.ts
+++ b/src/types/usage-messages.ts
@@ -1,7 +1,7 @@
 /** Messages about organisations' usage. Amounts are in the unit of the limit. */
 
 /** The usage report and allowance request of a box for one organisation. */
-export interface AllowanceAsk {
+export interface AllowanceRequest {
   readonly organisation: string
   /** Amount used of this leader's allowances since the last report. */
   readonly used: number
@@ -25,4 +25,4 @@
  * By organisation: an upper bound of the usage that still counts when the leadership ends
  * and in each second after that. An organisation without an entry has none.
  */
-export type UsageOutlooks = Readonly<Record<string, readonly number[]>>
+export type UsageProjections = Readonly<Record<string, readonly number[]>>
--- a/test/keeper.test.ts
+++ b/test/keeper.test.ts
@@ -79,7 +79,7 @@
     this.apply({type: "config", config: restoreSnapshot(RECORDS, 1)})
     this.apply({type: "shares", shares: new Map(), keepers, entries})
     this.apply({type: "lease-renewed", sentAt: this.now})
-    this.apply({type: "tick", epoch: 0})
+    this.apply({type: "tick", epochMs: 0})
     for (const effect of this.effects) {
       if (effect.type !== "change-share") continue
       const result = {result: "done", revision: 7} as const
@@ -102,7 +102,7 @@
       held: []
     } as const
     this.apply({type: "message", from: "entry-0", message})
-    this.apply({type: "tick", epoch: 0})
+    this.apply({type: "tick", epochMs: 0})
     this.applyList(["base/x@1"])
     return this
   }
@@ -151,7 +151,7 @@
     subject.apply({type: "lease-lost"})
     subject.apply({type: "lease-renewed", sentAt: subject.now})
     t.same(subject.ask("base/y@1").orders(), [])
-    subject.apply({type: "tick", epoch: 0})
+    subject.apply({type: "tick", epochMs: 0})
     const claims = subject.effects.filter(effect => effect.type === "change-share")
     t.match(claims, [{change: {share: "cell:cell-1", fence: 2, expectRevision: 7}}, {}])
   }
--- a/test/losses.test.ts
+++ b/test/losses.test.ts
@@ -1,7 +1,7 @@
 /** The table of losses counts each request once, under its main cause. */
 import t from "tap"
 import type {LogLine} from "../src/core/explain.js"
-import {tellLosses} from "../src/core/losses.js"
+import {countLosses} from "../src/core/losses.js"
 
 let clock = 1_000_000
 
@@ -29,7 +29,7 @@
     line(196, {}),
     line(197, {route: undefined})
   ]
-  t.same(tellLosses(lines, 0), [
+  t.same(countLosses(lines, 0), [
     {route: "(none)", fromS: 0, total: 1, counts: {own: 1}},
     {
       route: "r",
@@ -55,7 +55,7 @@
 t.test("rows are split by time span", async t => {
   const first = ended(0, 1)
   clock += 12_000
-  const rows = tellLosses([first, ended(0, 1)], 5)
+  const rows = countLosses([first, ended(0, 1)], 5)
   t.same(
     rows.map(({fromS, total}) => [fromS, total]),
     [
@@ -65,4 +65,4 @@
   )
 })
 
-t.test("without lines there are no rows", async t => t.same(tellLosses([], 5), []))
+t.test("without lines there are no rows", async t => t.same(countLosses([], 5), []))
--- a/test/news-age.test.ts
+++ b/test/news-age.test.ts
@@ -13,8 +13,8 @@
   OLDEST_MS
 } from "../src/core/news-age.js"
 import {IDLE_TICK_MS} from "../src/core/serving.js"
-import {readToLeader} from "../src/types/box-frames.js"
-import type {AskNews, StoreNews} from "../src/types/box-messages.js"
+import {parseToLeader} from "../src/types/box-frames.js"
+import type {StoreSnapshotRequest, StoreSnapshot} from "../src/types/box-messages.js"
 
 /** Within this a box must know that a server leaves, milliseconds. */
 const BOUND_MS = 2_000
@@ -22,9 +22,9 @@
 /** A list over a new connection between data centres, with the work of both ends, milliseconds. */
 const ROUND_TRIP_MS = 50
 
-const ASK: AskNews = {t: "ask-news", configVersion: -1, ageMs: Infinity}
+const ASK: StoreSnapshotRequest = {t: "ask-news", configVersion: -1, ageMs: Infinity}
 
-const NEWS: StoreNews = {t: "news", ageMs: 0, records: [], versions: []}
+const NEWS: StoreSnapshot = {t: "news", ageMs: 0, records: [], versions: []}
 
 t.test(
   "the waits from the store's word to the last send add up to less than the bound",
@@ -64,7 +64,7 @@
 })
 
 t.test("a box that knows nothing may ask, too", async t => {
-  t.same(readToLeader(ASK), ASK)
+  t.same(parseToLeader(ASK), ASK)
 })
 
 t.test("a box asks a few others, and takes the first that can read", async t => {
--- a/test/patterns/limit-ways.ts
+++ b/test/patterns/limit-ways.ts
@@ -5,7 +5,7 @@
 import type {UsageOptions} from "../../src/core/usage-limits.js"
 import {type LedgerEffect, UsageLedger} from "../../src/core/usage-ledger.js"
 import {UsageStock} from "../../src/core/usage-stock.js"
-import type {UsageOutlooks} from "../../src/types/usage-messages.js"
+import type {UsageProjections} from "../../src/types/usage-messages.js"
 import type {Agenda} from "./agenda.js"
 import {LINK_MS} from "./fleet.js"
 
@@ -161,7 +161,7 @@
 /** The boxes' own way, on their real core. */
 export class Allowances implements LimitWay {
   messages = 0
-  stored: UsageOutlooks = {}
+  stored: UsageProjections = {}
   private readonly stocks_: UsageStock[]
   private ledger_: UsageLedger | undefined
   private leads_ = 0
--- a/test/patterns/stale-loads.ts
+++ b/test/patterns/stale-loads.ts
@@ -14,7 +14,7 @@
 import type {RoutedState} from "../../src/core/serving-fleet.js"
 import type {RoutedEffect, RoutedEvent} from "../../src/core/serving-events.js"
 import {UseCounts} from "../../src/adapters/use-counts.js"
-import type {EngineLoads} from "../../src/types/box-messages.js"
+import type {PrefillBacklog} from "../../src/types/box-messages.js"
 import {Agenda} from "./agenda.js"
 import {CONFIG, drawFrom, LINK_MS, MODEL, recordOf, ROUTE, SERVICE} from "./fleet.js"
 
@@ -186,7 +186,7 @@
     if (effect.type === "places" && effect.loads) this.tell(effect.loads)
   }
 
-  private tell(loads: EngineLoads): void {
+  private tell(loads: PrefillBacklog): void {
     this.agenda_.later(LINK_MS, () => {
       for (let i = 0; i < this.boxes_.length; i++) this.step(i, {type: "loads", loads})
     })
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -18,7 +18,7 @@
   type OrderResult
 } from "../src/core/placement-state.js"
 import {tokensIn} from "../src/core/reading-rate.js"
-import type {Need} from "../src/types/box-messages.js"
+import type {WeightsRequest} from "../src/types/box-messages.js"
 import type {EngineLimits, FleetService} from "../src/types/fleet.js"
 
 const SERVICE: FleetService = {
@@ -83,7 +83,7 @@
     takeReport(this.fleet, engine, report, this.now)
   }
 
-  need(adapter: string, more: Partial<Need> = {}): this {
+  need(adapter: string, more: Partial<WeightsRequest> = {}): this {
     const need = {
       request: `r${++this.asked_}`,
       service: "engines",
--- a/test/support/box-subject.ts
+++ b/test/support/box-subject.ts
@@ -11,7 +11,7 @@
   createBoxServing,
   drainEffects
 } from "../../src/core/box-state.js"
-import type {EngineNews} from "../../src/types/box-messages.js"
+import type {EngineSnapshot} from "../../src/types/box-messages.js"
 import type {BackendRecord, Route} from "../../src/types/fleet.js"
 
 export const ROUTE: Route = {
@@ -110,7 +110,7 @@
 }
 
 /** Both backend servers hold the first version of the adapter. */
-export function engines(): EngineNews[] {
+export function engines(): EngineSnapshot[] {
   const place = {adapter: "m/x", version: 1, readyInMs: 0}
   return ["one", "two"].map(engine => ({
     engine,
--- a/test/support/cell.ts
+++ b/test/support/cell.ts
@@ -1,9 +1,9 @@
 /** A cell of the real core with engines that have adapters loaded, for tests of its decisions. */
-import {takeOrderResult, type OrderResult} from "../../src/core/cell-orders.js"
-import {addAsk} from "../../src/core/cell-requests.js"
+import {handleOrderResult, type OrderResult} from "../../src/core/cell-orders.js"
+import {queueRequest} from "../../src/core/cell-requests.js"
 import {syncEngines} from "../../src/core/cell-engines.js"
 import {scheduleCell} from "../../src/core/cell-schedule.js"
-import {type CellDraft, createCell, openCell} from "../../src/core/cell-state.js"
+import {type CellDraft, createCell, createCellDraft} from "../../src/core/cell-state.js"
 import {emptyConfiguration} from "../../src/core/configuration.js"
 import type {Policy} from "../../src/core/policy.js"
 import {BUILT_IN_POLICY, DEFAULT_TIMING} from "../../src/index.js"
@@ -30,7 +30,7 @@
 const NOW = 1_000
 
 export class TestCell {
-  readonly cell: CellDraft = openCell(createCell("cell-1", 1, NOW, []), NOW)
+  readonly cell: CellDraft = createCellDraft(createCell("cell-1", 1, NOW, []), NOW)
 
   constructor(private readonly options_: TestCellOptions) {
     const server: ModelEngine = {
@@ -52,12 +52,12 @@
   list(engine: string, listed: Listed = {}): void {
     const order = {order: "list", cacheAfter: 0} as const
     const result = {ok: true, models: this.options_.models, ...listed} as const
-    takeOrderResult(this.cell, engine, order, result, NOW, DEFAULT_TIMING)
+    handleOrderResult(this.cell, engine, order, result, NOW, DEFAULT_TIMING)
   }
 
   /** Asks for a request and makes a pass; the engine it was granted. */
   place(request: string, ask: TestAsk = {}): string | undefined {
-    addAsk(this.cell, "entry-0", {
+    queueRequest(this.cell, "entry-0", {
       t: "ask",
       cell: "cell-1",
       request,
--- a/test/support/core-sim.ts
+++ b/test/support/core-sim.ts
@@ -146,7 +146,7 @@
     this.post(box, {role: "keeper", event: {type: "config", config}})
     this.every(TICK_MS, () => {
       this.post(box, {role: "entry", event: {type: "tick"}})
-      this.post(box, {role: "keeper", event: {type: "tick", epoch: this.now_}})
+      this.post(box, {role: "keeper", event: {type: "tick", epochMs: this.now_}})
     })
     this.every(DEFAULT_TIMING.renewMs, () => this.renew(box))
     this.every(200, () => this.showShares(box))
@@ -439,7 +439,7 @@
   private sendRequest(): void {
     const model = `base-a/a${Math.floor(this.draw_() * this.sim_.models)}@1`
     const box = Math.floor(this.draw_() * this.sim_.entries)
-    const {requests, endings} = (this.boxes_[box] as BoxState).entry
+    const {requests, pendingCancels: endings} = (this.boxes_[box] as BoxState).entry
     if (this.sim_.oneByOne && requests.size + endings.size > 0) return
     const arrival = {
       request: `r${this.order_++}|${model}`,
--- a/test/timeline.test.ts
+++ b/test/timeline.test.ts
@@ -4,7 +4,7 @@
 import {join} from "node:path"
 import t from "tap"
 import type {LogLine} from "../src/core/explain.js"
-import {tellTimeline} from "../src/core/timeline.js"
+import {buildTimeline} from "../src/core/timeline.js"
 import {Child} from "./support/child.js"
 import {until} from "./support/wait.js"
 
@@ -19,13 +19,13 @@
 
 t.test("lines of several boxes about the same event make one entry", async t => {
   const lines = [left("b", 1_400), left("a", 1_000), left("b", 1_500), left("c", 2_900)]
-  t.same(tellTimeline([line("a", 0, 190), ...lines]), [
+  t.same(buildTimeline([line("a", 0, 190), ...lines]), [
     {fromS: 1, toS: 2.9, event: 205, subject: "s", boxes: ["a", "b", "c"]}
   ])
 })
 
 t.test("a line that is later than an update can take makes another entry", async t => {
-  const entries = tellTimeline([left("a", 0), left("b", 2_001)])
+  const entries = buildTimeline([left("a", 0), left("b", 2_001)])
   t.same(
     entries.map(({fromS, boxes}) => [fromS, ...boxes]),
     [
@@ -36,7 +36,7 @@
 })
 
 t.test("different events stay separate, in the order of their first lines", async t => {
-  const entries = tellTimeline([
+  const entries = buildTimeline([
     line("a", 500, 184, {fence: 7, waitMs: 3_200}),
     left("a", 300),
     line("b", 600, 204, {backend: "s", source: "store"}),
@@ -54,7 +54,7 @@
 })
 
 t.test("restarted servers and unreadable keys are listed by name", async t => {
-  const entries = tellTimeline([
+  const entries = buildTimeline([
     line("a", 100, 208, {backend: "s~1", before: "s~0", source: "store"}),
     line("a", 200, 209, {key: "k/x", revision: 4, reason: "/: no JSON"}),
     line("b", 300, 209, {key: "k/x", revision: 4, reason: "/: no JSON"})
@@ -68,7 +68,7 @@
   )
 })
 
-t.test("without lines there are no entries", async t => t.same(tellTimeline([]), []))
+t.test("without lines there are no entries", async t => t.same(buildTimeline([]), []))
 
 t.test("sedgectl prints the timeline", async t => {
   const file = join(mkdtempSync(join(tmpdir(), "sedge-logs-")), "boxes.log")
--- a/test/usage-ledger.test.ts
+++ b/test/usage-ledger.test.ts
@@ -2,7 +2,7 @@
 import t from "tap"
 import {ALLOWANCE_MS, countedMs, type UsageOptions} from "../src/core/usage-limits.js"
 import {type LedgerEffect, UsageLedger} from "../src/core/usage-ledger.js"
-import type {AllowanceAsk, UsageOutlooks} from "../src/types/usage-messages.js"
+import type {AllowanceRequest, UsageProjections} from "../src/types/usage-messages.js"
 
 const OPTIONS: UsageOptions = {windowMs: 8_000, overage: 0, slack: 0}
 const LIMIT = 1_000
@@ -18,7 +18,7 @@
   )
 
   /** Passes the projection of earlier leaders and confirms the ledger's own. */
-  open(left: UsageOutlooks | undefined, now = 0): this {
+  open(left: UsageProjections | undefined, now = 0): this {
     this.ledger.begin()
     this.ledger.takeStored(left, now)
     return this.store(now)
@@ -32,7 +32,11 @@
   }
 
   /** Returns the amount granted to a box. Undefined if there is no answer yet. */
-  ask(need: number, now: number, more: Partial<AllowanceAsk> = {}): number | undefined {
+  ask(
+    need: number,
+    now: number,
+    more: Partial<AllowanceRequest> = {}
+  ): number | undefined {
     const entry = {
       organisation: "one",
       used: 0,
@@ -51,7 +55,7 @@
     return allow?.type === "allow" ? allow.grants[0]?.amount : undefined
   }
 
-  saved(): UsageOutlooks {
+  saved(): UsageProjections {
     const save = this.effects.filter(effect => effect.type === "save-usage").at(-1)
     return save?.type === "save-usage" ? save.outlooks : {}
   }
