--- a/src/adapters/box-hub.ts
+++ b/src/adapters/box-hub.ts
@@ -275,7 +275,7 @@
         : []),
       {
         t: "crashes",
-        changes: {records: serving.crashes.tell(now), cleared: []},
+        changes: {records: serving.crashes.toMessages(now), cleared: []},
         whole: true
       },
       {t: "rates", news: listRates(serving, now)},
@@ -341,7 +341,7 @@
 }
 
 function listRates({rates}: BoxServing, now: number): RateReport[] {
-  return rates.list().flatMap(server => rates.tell(server, now) ?? [])
+  return rates.list().flatMap(server => rates.toMessage(server, now) ?? [])
 }
 
 function listVersions({versions}: BoxServing): (readonly [string, number])[] {
--- a/src/adapters/leader-session.ts
+++ b/src/adapters/leader-session.ts
@@ -195,7 +195,7 @@
     if (ping.topCapacity !== undefined) strongest(ping.topCapacity)
     // Before the age of the leader's news: a reading of a new era proves less.
     if (ping.storeEra) eras.hear(ping.storeEra)
-    post({type: "orders", led: true, inMs: ping.ordersInMs})
+    post({type: "orders", hasLeader: true, inMs: ping.ordersInMs})
     const {newsAgeMs, configAgeMs = Infinity} = ping
     news.heardLeader(newsAgeMs, configAgeMs, clockNow())
     help.learn(ping.others)
--- a/src/adapters/routed-box.ts
+++ b/src/adapters/routed-box.ts
@@ -241,7 +241,7 @@
       kv,
       key: `${settings.store.prefix}crashes`,
       leads: () => this.mayGive,
-      list: () => serving.crashes.tell(clockNow()),
+      list: () => serving.crashes.toMessages(clockNow()),
       learned: records =>
         post({type: "crashes", changes: {records, cleared: []}, source: "store"}),
       log
@@ -280,7 +280,7 @@
       }
     )
     eras.listen((known, rose) => {
-      post({type: "era", known, rose})
+      post({type: "era", known, restored: rose})
       if (!rose) return
       this.election_.doubt()
       this.crashStore_.begin()
@@ -431,7 +431,7 @@
     this.strength_.beginLead(clockNow())
     this.session_.close()
     this.loop_.post({type: "lead"})
-    this.loop_.post({type: "orders", led: true, inMs: Math.max(0, waitMs)})
+    this.loop_.post({type: "orders", hasLeader: true, inMs: Math.max(0, waitMs)})
     this.loop_.post({type: "leader-new"})
     this.crashStore_.begin()
     this.applyLimits()
@@ -461,7 +461,7 @@
   /** The leader is lost: the next one takes a while to order loads. */
   private expectTakeover(): void {
     const inMs = takeoverMs(this.leadershipOptions_)
-    this.loop_.post({type: "orders", led: false, inMs})
+    this.loop_.post({type: "orders", hasLeader: false, inMs})
   }
 
   private perform(effect: RoutedEffect): void {
--- a/src/adapters/routed-metrics.ts
+++ b/src/adapters/routed-metrics.ts
@@ -32,7 +32,7 @@
   metrics.gauge("sedge_unreadable_entries", {}, () => news.unreadable)
   metrics.gauge("sedge_config_version", {}, () => news.config?.version ?? 0)
   metrics.gauge("sedge_paced_servers", {}, () => serving.rates.list().length)
-  metrics.gauge("sedge_sends_allowed", {}, () => state().pacer?.given ?? 0)
+  metrics.gauge("sedge_sends_allowed", {}, () => state().pacer?.granted ?? 0)
   metrics.gauge("sedge_sends_not_allowed", {}, () => state().pacer?.refused ?? 0)
   metrics.gauge("sedge_news_age_ms", {}, () =>
     Math.min(MAX_TOLD_AGE_MS, news.ageMs(clockNow()))
--- a/src/bin/sedgectl.ts
+++ b/src/bin/sedgectl.ts
@@ -7,7 +7,7 @@
 import {readLogs} from "../adapters/log-reader.js"
 import {explainRequest} from "../core/explain.js"
 import {countLosses} from "../core/losses.js"
-import {tellStoreCalls} from "../core/store-calls.js"
+import {sumStoreCalls} from "../core/store-calls.js"
 import {buildTimeline} from "../core/timeline.js"
 import {
   formatDifference,
@@ -246,7 +246,7 @@
     default: 0
   })
   .action((flags: Flags & {readonly logs: string; readonly span: number}) => {
-    const rows = tellStoreCalls(readLogs(flags.logs), flags.span)
+    const rows = sumStoreCalls(readLogs(flags.logs), flags.span)
     print(flags, {rows}, () => formatStoreCalls(rows))
   })
 cli
--- a/src/core/access.ts
+++ b/src/core/access.ts
@@ -56,7 +56,7 @@
  * Whether the key still belongs to the organisation. It may have been revoked while the
  * request waited.
  */
-export function isStillHeld(
+export function isKeyStillValid(
   {table}: BoxServing,
   key: string | undefined,
   organisation: string | undefined
--- a/src/core/usage-stock.ts
+++ b/src/core/allowance-pool.ts
@@ -3,7 +3,7 @@
  * what it still has to report to its leader.
  */
 import type {AllowanceRequest, AllowanceGrant} from "../types/usage-messages.js"
-import {ALLOWANCE_MS} from "./usage-limits.js"
+import {ALLOWANCE_LIFETIME_MS} from "./usage-limits.js"
 
 /**
  * The pool is filled for the demand of this time, and refilled when less than half is
@@ -59,7 +59,7 @@
 }
 
 /** Demand of an organisation's waiting requests. */
-export interface UsageNeed {
+export interface AllowanceDemand {
   readonly need: number
   /** Minimum amount kept in the pool for plain requests, independent of recent usage. */
   readonly least: number
@@ -76,7 +76,7 @@
   readonly term: number
 }
 
-export class UsageStock {
+export class AllowancePool {
   private readonly holdings_ = new Map<string, Holding>()
   private term_ = 0
   private requestCount_ = 0
@@ -112,7 +112,7 @@
    * Refunds a charge whose request was not executed. What was reported as used stays
    * used, since the leader no longer counts it as held by this box.
    */
-  giveBack({organisation, parts}: Charge): void {
+  refund({organisation, parts}: Charge): void {
     const holding = this.holdings_.get(organisation)
     if (!holding) return
     for (const {portion, amount} of parts) {
@@ -149,8 +149,8 @@
   }
 
   /** Returns the report and requests to send now, or undefined if there are none. */
-  collect(
-    needs: ReadonlyMap<string, UsageNeed>,
+  buildRequest(
+    needs: ReadonlyMap<string, AllowanceDemand>,
     now: number
   ): {readonly ask: number; readonly entries: readonly AllowanceRequest[]} | undefined {
     if (this.awaitsAnswer_ && now < this.retryAt_) return undefined
@@ -183,12 +183,12 @@
     this.retryAt_ = now + this.retryMs_
     this.openRequests_.set(ask, {at: now, term: this.term_})
     for (const [old, {at}] of this.openRequests_) {
-      if (now - at > ALLOWANCE_MS) this.openRequests_.delete(old)
+      if (now - at > ALLOWANCE_LIFETIME_MS) this.openRequests_.delete(old)
     }
   }
 
   /** Handles the leader's answer. */
-  take(ask: number, grants: readonly AllowanceGrant[], now: number): void {
+  handleGrants(ask: number, grants: readonly AllowanceGrant[], now: number): void {
     const asked = this.openRequests_.get(ask)
     if (ask === this.lastRequest_) this.awaitsAnswer_ = false
     this.retryMs_ = RETRY_MS
@@ -200,7 +200,7 @@
       // count does.
       holding.portions.push({
         left: amount,
-        until: asked.at + ALLOWANCE_MS,
+        until: asked.at + ALLOWANCE_LIFETIME_MS,
         term: asked.term
       })
     }
@@ -220,7 +220,7 @@
 
   private wantedAmounts(
     holding: Holding,
-    {need: waitingNeed, least}: UsageNeed = {need: 0, least: 0},
+    {need: waitingNeed, least}: AllowanceDemand = {need: 0, least: 0},
     isReportDue: boolean,
     now: number
   ): WantedAmounts {
--- a/src/core/box-attempts.ts
+++ b/src/core/box-attempts.ts
@@ -41,7 +41,7 @@
   const attempt = findAttempt(box, id, number)
   if (!attempt) return
   attempt.started = true
-  box.recentSends.note(attempt.backend, runningMs(box, now))
+  box.recentSends.record(attempt.backend, runningMs(box, now))
 }
 
 /** Handles received bytes of the attempt's answer. */
@@ -56,7 +56,7 @@
   if (!request || !attempt) return
   attempt.heardAt = now
   box.suspects.delete(attempt.backend)
-  box.survivors.noteHeard(attempt.backend, now)
+  box.survivors.recordAlive(attempt.backend, now)
   if (attempt.firstAt !== undefined) return
   attempt.firstAt = now
   // The prefill is done, so its tokens no longer count as waiting.
@@ -156,7 +156,7 @@
   request.avoided.set(attempt.backend, now + pauseMs)
   const maxRefusals = areWeightsLate ? MAX_LATE_REFUSALS : MAX_REFUSALS
   const isBudgetSpent =
-    budgetOf(box, request.arrival.service).left(runningMs(box, now), box.boxes) <= 0
+    budgetOf(box, request.arrival.service).remaining(runningMs(box, now), box.boxes) <= 0
   if (request.refusals > maxRefusals || (isBudgetSpent && !mayAsk(box))) {
     return giveUp(box, request, request.runs > 0 ? "unknown" : "not-run", now)
   }
--- a/src/core/box-charges.ts
+++ b/src/core/box-charges.ts
@@ -2,7 +2,7 @@
 import type {UsageLimit} from "../types/organisations.js"
 import type {BoxRequest, BoxServing} from "./box-state.js"
 import {costOf} from "./usage-limits.js"
-import type {Charge} from "./usage-stock.js"
+import type {Charge} from "./allowance-pool.js"
 
 /**
  * Charges a request for its next send. Returns `free` if no limit applies, and undefined
@@ -24,7 +24,7 @@
   const charge = request.attempt?.charge
   if (!request.attempt || !charge) return
   request.attempt.charge = undefined
-  box.stock.giveBack(charge)
+  box.stock.refund(charge)
 }
 
 /** Returns the usage limit of the request's organisation, or undefined if it has none. */
--- a/src/core/box-choose.ts
+++ b/src/core/box-choose.ts
@@ -153,7 +153,7 @@
   const {prefix, weights, route, tokens} = arrival
   if (!prefix) return 0
   const adapter = weights?.adapter ?? ""
-  const share = box.prefixes.keptShare(route.name, adapter, box.boxes, now)
+  const share = box.prefixes.cacheProbability(route.name, adapter, box.boxes, now)
   return Math.round(Math.min(tokens, prefix.tokens) * share)
 }
 
--- a/src/core/box-crashes.ts
+++ b/src/core/box-crashes.ts
@@ -27,7 +27,7 @@
 ): boolean {
   const isFirstSend = attempts === (attempt ? 1 : 0)
   if (fingerprint === undefined || (trial && isFirstSend)) return false
-  return box.crashes.isStopped(fingerprint)
+  return box.crashes.isQuarantined(fingerprint)
 }
 
 /**
@@ -43,11 +43,11 @@
   const {fingerprint = ""} = request.arrival
   const waitMs = box.crashes.trialInMs(fingerprint, now)
   // Only the leader starts trials, and it reports a trial before sending the request.
-  if (waitMs === 0 && box.leads && box.crashes.mayTry(now)) {
-    box.crashes.noteTrial(fingerprint, now)
+  if (waitMs === 0 && box.leads && box.crashes.canTry(now)) {
+    box.crashes.recordTrial(fingerprint, now)
     request.trial = true
     note(box, "request-tried", {fingerprint, request: request.arrival.name})
-    reportChanges(box, {records: box.crashes.tell(now, [fingerprint]), cleared: []})
+    reportChanges(box, {records: box.crashes.toMessages(now, [fingerprint]), cleared: []})
     return false
   }
   const reason = request.runs > 0 ? "unknown" : "crashes-servers"
@@ -63,8 +63,8 @@
   now: number
 ): void {
   if (fingerprint === undefined) return
-  box.crashWatch.noteAnswered(fingerprint, backend, now)
-  box.survivors.noteAnswered(fingerprint, backend, now)
+  box.crashWatch.recordAnswered(fingerprint, backend, now)
+  box.survivors.recordAnswered(fingerprint, backend, now)
 }
 
 /**
@@ -74,8 +74,8 @@
  */
 export function suspectCrash(box: BoxServing, backend: string, now: number): void {
   const record = findIfNotLeaving(box, backend)
-  if (!record || !box.crashWatch.endedLately(backend, now)) return
-  if (box.crashWatch.noteBroken(backend, now)) probe(box, record)
+  if (!record || !box.crashWatch.hasRecentlyEnded(backend, now)) return
+  if (box.crashWatch.recordBroken(backend, now)) probe(box, record)
 }
 
 /**
@@ -90,8 +90,8 @@
 ): void {
   if (up === false) return confirmCrash(box, backend, now)
   if (!up) return
-  box.crashWatch.noteReached(backend, now)
-  box.survivors.noteHeard(backend, now)
+  box.crashWatch.recordReachable(backend, now)
+  box.survivors.recordAlive(backend, now)
 }
 
 /** Handles the end of a server's incarnation, shown by its next incarnation. */
@@ -107,12 +107,12 @@
   now: number
 ): void {
   if (source === "leader-all") {
-    const missing = box.crashes.tellMissing(records, now)
+    const missing = box.crashes.listMissing(records, now)
     if (missing.length > 0) reportChanges(box, {records: missing, cleared: []})
   }
   const survived = records
     .map(({fingerprint}) => fingerprint)
-    .filter(fingerprint => box.survivors.has(fingerprint))
+    .filter(fingerprint => box.survivors.isCleared(fingerprint))
   if (survived.length > 0) reportChanges(box, {records: [], cleared: survived})
   const changed = records
     .filter(({fingerprint}) => !survived.includes(fingerprint))
@@ -125,7 +125,7 @@
   const hasChanged = changed.length > 0 || clearedHere.length > 0
   if (hasChanged && (source === "box" || source === "store")) {
     reportChanges(box, {
-      records: box.crashes.tell(
+      records: box.crashes.toMessages(
         now,
         changed.map(({fingerprint}) => fingerprint)
       ),
@@ -141,12 +141,12 @@
 export function tickCrashes(box: BoxServing, now: number): void {
   box.crashes.expire(now)
   const suspects = box.crashes.fingerprints()
-  const toProbe = suspects.flatMap(each => box.survivors.takeLook(each, now) ?? [])
-  for (const backend of new Set([...toProbe, ...box.crashWatch.takeLooks(now)])) {
+  const toProbe = suspects.flatMap(each => box.survivors.takeDueProbe(each, now) ?? [])
+  for (const backend of new Set([...toProbe, ...box.crashWatch.takeDueProbes(now)])) {
     const record = findIfNotLeaving(box, backend)
     if (record) probe(box, record)
   }
-  const cleared = suspects.filter(fingerprint => box.survivors.has(fingerprint))
+  const cleared = suspects.filter(fingerprint => box.survivors.isCleared(fingerprint))
   if (cleared.length === 0) return
   for (const fingerprint of cleared) {
     box.crashes.clear(fingerprint)
@@ -175,15 +175,15 @@
   const inProgress = [...box.requests.values()]
     .filter(({attempt}) => attempt?.started === true && attempt.backend === backend)
     .flatMap(({arrival: {fingerprint}}) => fingerprint ?? [])
-  const ended = box.crashWatch.takeCrash(backend, now)
-  const answered = box.survivors.takeCrash(backend, now)
+  const ended = box.crashWatch.handleCrash(backend, now)
+  const answered = box.survivors.handleCrash(backend, now)
   const suspects = [...new Set([...inProgress, ...ended, ...answered])].filter(
-    fingerprint => !box.survivors.has(fingerprint)
+    fingerprint => !box.survivors.isCleared(fingerprint)
   )
   const added = suspects.filter(fingerprint => addCrash(box, fingerprint, backend, now))
   if (added.length === 0) return
   note(box, "server-crashed", {backend, suspects: added.length})
-  reportChanges(box, {records: box.crashes.tell(now, added), cleared: []})
+  reportChanges(box, {records: box.crashes.toMessages(now, added), cleared: []})
 }
 
 function mergeRecord(box: BoxServing, record: CrashReport, now: number): boolean {
@@ -205,9 +205,9 @@
   fingerprint: string,
   change: () => boolean
 ): boolean {
-  const wasQuarantined = box.crashes.isStopped(fingerprint)
+  const wasQuarantined = box.crashes.isQuarantined(fingerprint)
   const hasChanged = change()
-  if (!wasQuarantined && box.crashes.isStopped(fingerprint)) {
+  if (!wasQuarantined && box.crashes.isQuarantined(fingerprint)) {
     note(box, "request-stopped", {fingerprint})
   }
   return hasChanged
--- a/src/core/box-ends.ts
+++ b/src/core/box-ends.ts
@@ -55,7 +55,7 @@
   now: number
 ): void {
   if (!attempt?.started || fingerprint === undefined) return
-  box.crashWatch.noteClosed(fingerprint, attempt.backend, now)
+  box.crashWatch.recordClosed(fingerprint, attempt.backend, now)
 }
 
 /** Removes a request that has ended. */
--- a/src/core/box-pacing.ts
+++ b/src/core/box-pacing.ts
@@ -6,7 +6,7 @@
 import type {SendAllowanceRequest} from "../types/rate-messages.js"
 import {type BoxRequest, type BoxServing, note} from "./box-state.js"
 import {runningMs} from "./suspensions.js"
-import type {SendNeed} from "./send-allowances.js"
+import type {SendDemand} from "./send-allowances.js"
 
 /**
  * Longest wait for an allowance, as a part of the target time: the caller can still retry
@@ -21,7 +21,7 @@
 const RATE_CHECK_MS = 3_000
 
 /** Nothing waits: the request is for stock, at the lowest priority. */
-const NO_NEED: SendNeed = {count: 0, rank: 9, waitMs: 0}
+const NO_NEED: SendDemand = {count: 0, rank: 9, waitMs: 0}
 
 /** Whether the server is rate-limited and this box holds no allowance for it. */
 export function isPaced(box: BoxServing, server: string, now: number): boolean {
@@ -41,7 +41,7 @@
   servers: readonly string[],
   now: number
 ): void {
-  for (const server of servers) box.allowances.noteDemand(server, now)
+  for (const server of servers) box.allowances.recordDemand(server, now)
 }
 
 /**
@@ -74,7 +74,7 @@
   if (box.allowances.fullForMs(server, now) === 0) return true
   // An allowance was granted in advance, for this or another waiting request.
   return (
-    request.paced?.server === server && box.allowances.comesInMs(server, now) < leftMs
+    request.paced?.server === server && box.allowances.msUntilUsable(server, now) < leftMs
   )
 }
 
@@ -113,16 +113,16 @@
 function buildSendAsks(
   box: BoxServing,
   server: string,
-  need: SendNeed | undefined,
+  need: SendDemand | undefined,
   now: number
 ): SendAllowanceRequest[] {
   const {allowances, rates} = box
-  if (!box.led || allowances.isSilent(server, now)) {
+  if (!box.led || allowances.isLeaderSilent(server, now)) {
     if (need && !allowances.holds(server, now)) useFallbackShare(box, server, now)
     return []
   }
   const isDue = now - rates.heardAt(server) > RATE_CHECK_MS
-  const ask = allowances.collect(server, need ?? NO_NEED, isDue, now)
+  const ask = allowances.buildRequest(server, need ?? NO_NEED, isDue, now)
   return ask ? [ask] : []
 }
 
@@ -130,11 +130,11 @@
   const {rates, allowances, boxes, options} = box
   const perSecond = rates.of(server) ?? 0
   const share = {perSecond, boxes, draw: options.random()}
-  allowances.takeOwn(server, share, runningMs(box, now), now)
+  allowances.addFallback(server, share, runningMs(box, now), now)
 }
 
-function listSendNeeds(box: BoxServing, now: number): Map<string, SendNeed> {
-  const needs = new Map<string, SendNeed>()
+function listSendNeeds(box: BoxServing, now: number): Map<string, SendDemand> {
+  const needs = new Map<string, SendDemand>()
   for (const request of box.requests.values()) {
     const {paced, attempt, arrival} = request
     if (paced?.server === undefined || attempt) continue
--- a/src/core/box-repeats.ts
+++ b/src/core/box-repeats.ts
@@ -13,7 +13,9 @@
 /** Whether the request may run again and the retry budget allows it. */
 export function mayRepeat(box: BoxServing, request: BoxRequest, now: number): boolean {
   if (!allowsRepeat(request)) return false
-  return budgetOf(box, request.arrival.service).left(runningMs(box, now), box.boxes) > 0
+  return (
+    budgetOf(box, request.arrival.service).remaining(runningMs(box, now), box.boxes) > 0
+  )
 }
 
 /** Whether the request may run again, regardless of the retry budget. */
--- a/src/core/box-requests.ts
+++ b/src/core/box-requests.ts
@@ -1,5 +1,5 @@
 /** Admits the requests of a box and sends each to a backend server that can serve it. */
-import {isStillHeld} from "./access.js"
+import {isKeyStillValid} from "./access.js"
 import {type Candidate, chooseBackend, listPacedServers} from "./box-choose.js"
 import {abortAttempt, countUse, dropNeed, finish, giveUp, tellUse} from "./box-ends.js"
 import {refuseIfStopped} from "./box-crashes.js"
@@ -25,7 +25,7 @@
 export function admit(box: BoxServing, arrival: Arrival, now: number): void {
   const {route, deadlineMs, service} = arrival
   const limitMs = Math.min(deadlineMs, route.timeoutMs)
-  budgetOf(box, service).noteRequest(runningMs(box, now))
+  budgetOf(box, service).recordRequest(runningMs(box, now))
   const request: BoxRequest = {
     arrival,
     arrivedAt: now,
@@ -106,7 +106,7 @@
 }
 
 function isKeyStillValid(box: BoxServing, {arrival}: BoxRequest): boolean {
-  return isStillHeld(box, arrival.key, arrival.organisation)
+  return isKeyStillValid(box, arrival.key, arrival.organisation)
 }
 
 function createAttempt(
@@ -152,13 +152,15 @@
 }
 
 function spendRetry(box: BoxServing, request: BoxRequest, now: number): void {
-  if (!request.granted) budgetOf(box, request.arrival.service).spend(runningMs(box, now))
+  if (!request.granted)
+    budgetOf(box, request.arrival.service).recordRetry(runningMs(box, now))
   request.granted = false
 }
 
 function recordPrefix(box: BoxServing, {arrival}: BoxRequest, now: number): void {
   const {prefix, weights, route} = arrival
-  if (prefix) box.prefixes.note(route.name, weights?.adapter ?? "", prefix.key, now)
+  if (prefix)
+    box.prefixes.recordRequest(route.name, weights?.adapter ?? "", prefix.key, now)
 }
 
 /** Ends a request whose caller disconnected. */
--- a/src/core/box-starts.ts
+++ b/src/core/box-starts.ts
@@ -2,13 +2,13 @@
  * Repeats the checks of a send right before its bytes leave, since the attempt may have
  * waited for a connection.
  */
-import {isStillHeld} from "./access.js"
+import {isKeyStillValid} from "./access.js"
 import {isUsable} from "./backend-list.js"
 import {isStopped} from "./box-crashes.js"
 import type {AttemptFailure} from "./box-doubts.js"
 import {isStale} from "./box-news.js"
 import type {BoxServing} from "./box-state.js"
-import {CHARGE_MS} from "./usage-limits.js"
+import {CHARGE_TIMEOUT_MS} from "./usage-limits.js"
 import {restsForMs} from "./server-notices.js"
 import {mayRunOn} from "./box-versions.js"
 
@@ -22,7 +22,7 @@
   const attempt = request?.attempt
   if (!request || !attempt) return "overtaken"
   const {charge} = attempt
-  if (charge && now - charge.at > CHARGE_MS) return "overtaken"
+  if (charge && now - charge.at > CHARGE_TIMEOUT_MS) return "overtaken"
   if (!isUsable(box.backends, attempt.backend)) return "not-sent"
   if (restsForMs(box, attempt.backend, now) > 0) return "overtaken"
   const {allowedUntil = -Infinity} = attempt
@@ -30,7 +30,7 @@
     return "overtaken"
   }
   const {key, organisation} = request.arrival
-  if (!isStillHeld(box, key, organisation)) return "overtaken"
+  if (!isKeyStillValid(box, key, organisation)) return "overtaken"
   if (isStopped(box, request)) return "overtaken"
   const holds = !isStale(box, now) && mayRunOn(box, request, attempt.version, now)
   return holds ? undefined : "overtaken"
--- a/src/core/box-state.ts
+++ b/src/core/box-state.ts
@@ -4,14 +4,14 @@
 import type {AdapterVersions} from "./adapter-versions.js"
 import {createBackendList, type BackendList} from "./backend-list.js"
 import type {EngineView} from "./box-places.js"
-import {PrefixMemory} from "./prefix-memory.js"
-import {FIRST_RATE} from "./reading-rate.js"
+import {PrefixHistory} from "./prefix-history.js"
+import {INITIAL_PREFILL_RATE} from "./prefill-rate.js"
 import type {UsageOptions} from "./usage-limits.js"
-import {Survivors} from "./survivors.js"
+import {ClearedRequests} from "./cleared-requests.js"
 import {RetryBudget, type RetryBudgetOptions} from "./rate-windows.js"
 import type {RouteTable} from "./route-table.js"
 import type {KnownEra} from "./eras.js"
-import {type Charge, UsageStock} from "./usage-stock.js"
+import {type Charge, AllowancePool} from "./allowance-pool.js"
 import {RecentSends} from "./recent-sends.js"
 import {SendAllowances} from "./send-allowances.js"
 import {ServerRates} from "./server-rates.js"
@@ -210,11 +210,11 @@
   readonly crashes: CrashList
   readonly crashWatch: CrashWatch
   /** Requests that servers have answered and outlived, as this box observed. */
-  readonly survivors: Survivors
+  readonly survivors: ClearedRequests
   readonly budgets: Map<string, RetryBudget>
   /** Usage allowances of organisations that this box holds. */
-  readonly stock: UsageStock
-  readonly prefixes: PrefixMemory
+  readonly stock: AllowancePool
+  readonly prefixes: PrefixHistory
   /** The order of the engines in load reports, which carry no names. */
   loadOrder: readonly string[]
   leads: boolean
@@ -342,7 +342,7 @@
     configReadAt: undefined,
     configReadBeforeEra: undefined,
     engines: new Map(),
-    tokensPerMs: FIRST_RATE,
+    tokensPerMs: INITIAL_PREFILL_RATE,
     held: new Map(),
     versions: new Map(),
     requests: new Map(),
@@ -356,15 +356,15 @@
     recentSends: new RecentSends(),
     crashes: new CrashList(),
     crashWatch: new CrashWatch(),
-    survivors: new Survivors(),
+    survivors: new ClearedRequests(),
     budgets: new Map(),
-    stock: new UsageStock(),
+    stock: new AllowancePool(),
     boxes: 1,
     loadOrder: [],
     leads: false,
     led: false,
     ordersFrom: 0,
-    prefixes: new PrefixMemory(),
+    prefixes: new PrefixHistory(),
     suspendedMs: 0,
     stoppingAt: undefined,
     effects: []
--- a/src/core/box-usage.ts
+++ b/src/core/box-usage.ts
@@ -8,7 +8,7 @@
 import {costFor, limitFor} from "./box-charges.js"
 import type {BoxRequest, BoxServing} from "./box-state.js"
 import {costOf} from "./usage-limits.js"
-import type {UsageNeed} from "./usage-stock.js"
+import type {AllowanceDemand} from "./allowance-pool.js"
 
 /**
  * Longest wait for an allowance, as a part of the target time: the caller can still retry
@@ -79,12 +79,12 @@
 /** Reports usage to the leader and requests the allowances needed now and soon. */
 export function askAllowances(box: BoxServing, now: number): void {
   if (!box.table || box.table.limited.size === 0) return
-  const collected = box.stock.collect(listNeeds(box), now)
+  const collected = box.stock.buildRequest(listNeeds(box), now)
   if (collected) box.effects.push({type: "usage", ...collected})
 }
 
-function listNeeds(box: BoxServing): Map<string, UsageNeed> {
-  const needs = new Map<string, UsageNeed>()
+function listNeeds(box: BoxServing): Map<string, AllowanceDemand> {
+  const needs = new Map<string, AllowanceDemand>()
   for (const request of box.requests.values()) {
     const {organisation} = request.arrival
     const limit = limitFor(box, request)
--- a/src/core/survivors.ts
+++ b/src/core/cleared-requests.ts
@@ -26,27 +26,27 @@
   probed: boolean
 }
 
-export class Survivors {
+export class ClearedRequests {
   private readonly answered_ = new Map<string, Answered>()
   /** When each incarnation of a server was last known to run. */
   private readonly lastAliveAt_ = new Map<string, number>()
 
   /** Records that the server answered or accepted a connection. */
-  noteHeard(incarnation: string, now: number): void {
+  recordAlive(incarnation: string, now: number): void {
     putNewest(this.lastAliveAt_, incarnation, now, MAX_INCARNATIONS)
   }
 
   /** Records a complete answer to the request. */
-  noteAnswered(fingerprint: string, incarnation: string, now: number): void {
-    this.noteHeard(incarnation, now)
-    const isKept = this.has(fingerprint) || !this.isUnconfirmed(fingerprint, now)
+  recordAnswered(fingerprint: string, incarnation: string, now: number): void {
+    this.recordAlive(incarnation, now)
+    const isKept = this.isCleared(fingerprint) || !this.isUnconfirmed(fingerprint, now)
     const kept = isKept ? this.answered_.get(fingerprint) : undefined
     const answered = kept ?? {incarnation, at: now, isCleared: false, probed: false}
     putNewest(this.answered_, fingerprint, answered, MAX_ANSWERED)
   }
 
   /** Whether a server has answered the request completely and kept running. */
-  has(fingerprint: string): boolean {
+  isCleared(fingerprint: string): boolean {
     const answered = this.answered_.get(fingerprint)
     if (!answered) return false
     const {incarnation, at} = answered
@@ -59,7 +59,7 @@
    * Returns the server to test in order to clear the request. Undefined if there is none,
    * or if it is too early.
    */
-  takeLook(fingerprint: string, now: number): string | undefined {
+  takeDueProbe(fingerprint: string, now: number): string | undefined {
     const answered = this.answered_.get(fingerprint)
     if (!answered || answered.probed || now - answered.at < SURVIVED_MS) return undefined
     answered.probed = true
@@ -70,11 +70,11 @@
    * Handles a crash. Returns the requests that the server answered shortly before and
    * that are not cleared.
    */
-  takeCrash(incarnation: string, now: number): string[] {
+  handleCrash(incarnation: string, now: number): string[] {
     this.lastAliveAt_.delete(incarnation)
     const unconfirmed = [...this.answered_].filter(
       ([fingerprint, answered]) =>
-        answered.incarnation === incarnation && !this.has(fingerprint)
+        answered.incarnation === incarnation && !this.isCleared(fingerprint)
     )
     for (const [fingerprint] of unconfirmed) this.answered_.delete(fingerprint)
     return unconfirmed
--- a/src/core/counted-usage.ts
+++ b/src/core/counted-usage.ts
@@ -6,7 +6,7 @@
 const TICK_MS = 500
 
 /** Step of a usage projection. */
-export const STEP_MS = 1_000
+export const PROJECTION_STEP_MS = 1_000
 
 export class CountedUsage {
   /** Amounts by the tick of their expiry. */
@@ -36,17 +36,17 @@
   }
 
   /** Returns the usage that counts now, one step later, and so on; it never increases. */
-  outlook(now: number, steps: number): number[] {
+  project(now: number, steps: number): number[] {
     return Array.from({length: steps}, (_, step) => {
       let sum = 0
-      const at = now + step * STEP_MS
+      const at = now + step * PROJECTION_STEP_MS
       for (const [tick, amount] of this.amounts_) if (tick * TICK_MS > at) sum += amount
       return sum
     })
   }
 
   /** Returns the time until at most `most` counts, if nothing is added. */
-  timeUntil(most: number, now: number): number {
+  msUntilAtMost(most: number, now: number): number {
     let left = this.total(now)
     const sorted = [...this.amounts_].sort(([a], [b]) => a - b)
     for (const [tick, amount] of sorted) {
--- a/src/core/crash-list.ts
+++ b/src/core/crash-list.ts
@@ -10,13 +10,13 @@
  */
 import type {CrashReport} from "../types/crash-messages.js"
 
-export const CRASHES_TO_STOP = 3
+export const CRASHES_TO_QUARANTINE = 3
 
 /**
  * Delay of each trial after the last crash. A quarantined request reaches servers only in
  * these trials.
  */
-export const TRIALS_MS = [5_000, 60_000] as const
+export const TRIAL_DELAYS_MS = [5_000, 60_000] as const
 
 /**
  * Interval between trials of any requests, so that one is not blamed for the other's
@@ -64,7 +64,7 @@
     const known = this.records_.get(fingerprint)
     if (known?.incarnations.includes(incarnation)) return false
     const incarnations = [...(known?.incarnations ?? []), incarnation].slice(
-      -CRASHES_TO_STOP
+      -CRASHES_TO_QUARANTINE
     )
     const lastAt = Math.max(at, known?.at ?? -Infinity)
     this.put(fingerprint, {incarnations, at: lastAt, trials: known?.trials ?? 0})
@@ -87,8 +87,10 @@
     return this.records_.delete(fingerprint)
   }
 
-  isStopped(fingerprint: string): boolean {
-    return (this.records_.get(fingerprint)?.incarnations.length ?? 0) >= CRASHES_TO_STOP
+  isQuarantined(fingerprint: string): boolean {
+    return (
+      (this.records_.get(fingerprint)?.incarnations.length ?? 0) >= CRASHES_TO_QUARANTINE
+    )
   }
 
   /**
@@ -97,23 +99,23 @@
   trialInMs(fingerprint: string, now: number): number {
     const record = this.records_.get(fingerprint)
     if (!record) return 0
-    const waitMs = TRIALS_MS[record.trials] ?? RETENTION_MS
+    const waitMs = TRIAL_DELAYS_MS[record.trials] ?? RETENTION_MS
     return Math.max(0, record.at + waitMs - now)
   }
 
-  mayTry(now: number): boolean {
+  canTry(now: number): boolean {
     return now - this.triedAt_ >= TRIAL_GAP_MS
   }
 
   /** Records the start of a trial. */
-  noteTrial(fingerprint: string, now: number): void {
+  recordTrial(fingerprint: string, now: number): void {
     this.triedAt_ = now
     const record = this.records_.get(fingerprint)
     if (record) this.put(fingerprint, {...record, trials: record.trials + 1})
   }
 
   /** Returns the records of these requests, or of all, as messages for other boxes. */
-  tell(
+  toMessages(
     now: number,
     fingerprints: Iterable<string> = this.records_.keys()
   ): CrashReport[] {
@@ -130,12 +132,12 @@
    * Returns the records that another box's full list lacks, or has with fewer crashes or
    * trials.
    */
-  tellMissing(theirs: readonly CrashReport[], now: number): CrashReport[] {
+  listMissing(theirs: readonly CrashReport[], now: number): CrashReport[] {
     const theirRecords = new Map(theirs.map(record => [record.fingerprint, record]))
-    return this.tell(now).filter(({fingerprint, lives, trials}) => {
+    return this.toMessages(now).filter(({fingerprint, lives, trials}) => {
       const theirRecord = theirRecords.get(fingerprint)
       if (!theirRecord || trials > theirRecord.trials) return true
-      if (theirRecord.lives.length >= CRASHES_TO_STOP) return false
+      if (theirRecord.lives.length >= CRASHES_TO_QUARANTINE) return false
       return lives.some(incarnation => !theirRecord.lives.includes(incarnation))
     })
   }
--- a/src/core/crash-watch.ts
+++ b/src/core/crash-watch.ts
@@ -50,12 +50,12 @@
   private readonly suspected_ = new Map<string, SuspectedCrash>()
 
   /** Records a send that ended without a complete answer. */
-  noteClosed(fingerprint: string, incarnation: string, at: number): void {
+  recordClosed(fingerprint: string, incarnation: string, at: number): void {
     this.recordEnded({fingerprint, incarnation, at, answered: false})
   }
 
   /** Records a send that ended with a complete answer. */
-  noteAnswered(fingerprint: string, incarnation: string, at: number): void {
+  recordAnswered(fingerprint: string, incarnation: string, at: number): void {
     this.recordEnded({fingerprint, incarnation, at, answered: true})
   }
 
@@ -63,7 +63,7 @@
    * Whether a request ended at the server so recently that it may be related to its
    * crash.
    */
-  endedLately(incarnation: string, now: number): boolean {
+  hasRecentlyEnded(incarnation: string, now: number): boolean {
     return this.ended_.some(
       each => each.incarnation === incarnation && now - each.at < CLOSED_MS
     )
@@ -81,7 +81,7 @@
    * Records that a server closed a connection during a request. Returns false if the
    * server is being tested already.
    */
-  noteBroken(incarnation: string, now: number): boolean {
+  recordBroken(incarnation: string, now: number): boolean {
     const known = this.suspected_.get(incarnation)
     const suspects = new Set(this.endedAround(incarnation, now))
     if (known && now - known.at < CLOSED_MS) {
@@ -104,7 +104,7 @@
    * Records that the server accepts connections. It has not crashed unless its next
    * incarnation is reported soon.
    */
-  noteReached(incarnation: string, now: number): void {
+  recordReachable(incarnation: string, now: number): void {
     const suspected = this.suspected_.get(incarnation)
     if (!suspected) return
     suspected.probesLeft = 0
@@ -115,7 +115,7 @@
    * Handles a crash. Returns the requests that ended when the server crashed or shortly
    * before.
    */
-  takeCrash(incarnation: string, now: number): string[] {
+  handleCrash(incarnation: string, now: number): string[] {
     const suspected = this.suspected_.get(incarnation)
     this.suspected_.delete(incarnation)
     return [
@@ -125,7 +125,7 @@
   }
 
   /** Returns the servers whose next connection test is due. */
-  takeLooks(now: number): string[] {
+  takeDueProbes(now: number): string[] {
     const due: string[] = []
     for (const [incarnation, suspected] of this.suspected_) {
       if (now >= suspected.until) this.suspected_.delete(incarnation)
--- a/src/core/placement-state.ts
+++ b/src/core/placement-state.ts
@@ -2,7 +2,7 @@
 import type {EngineDelta, PrefillBacklog, WeightsRequest} from "../types/box-messages.js"
 import type {FleetService} from "../types/fleet.js"
 import type {SendAllowanceGrant} from "../types/rate-messages.js"
-import {createReadingRate, type ReadingRate, type ReadSpan} from "./reading-rate.js"
+import {createPrefillRate, type PrefillRate, type PrefillSpan} from "./prefill-rate.js"
 import type {FleetIndex} from "./placement-index.js"
 
 export type SlotPhase = "loading" | "ready" | "unloading"
@@ -76,7 +76,7 @@
   readonly copies: Map<string, number>
   /** Prompt tokens of its requests that wait for prefill. */
   load: number
-  read: ReadSpan
+  read: PrefillSpan
   /** The engine's own count of executed orders. Undefined until reported. */
   sequence: number | undefined
   /** Whether an order or a report request awaits its answer. */
@@ -216,7 +216,7 @@
   loadsToldAt: number
   /** The engines of the last broadcast of loads, in its order. */
   toldOrder: readonly string[]
-  readonly reading: ReadingRate
+  readonly reading: PrefillRate
   index: FleetIndex
   /** Whether an event since the last plan may make a new order possible. */
   unplanned: boolean
@@ -250,7 +250,7 @@
     toldAt: -Infinity,
     loadsToldAt: now,
     toldOrder: [],
-    reading: createReadingRate(),
+    reading: createPrefillRate(),
     index: {
       holders: new Map(),
       awaited: new Set(),
--- a/src/core/placement-uses.ts
+++ b/src/core/placement-uses.ts
@@ -2,7 +2,7 @@
 import type {WeightsRequest, EngineUseDelta} from "../types/box-messages.js"
 import {adapterKey, type BackendRecord, type FleetService} from "../types/fleet.js"
 import {answerNeed} from "./placement-news.js"
-import {noteRead} from "./reading-rate.js"
+import {recordPrefill} from "./prefill-rate.js"
 import {keepStrays} from "./placement-strays.js"
 import {
   type BoxUse,
@@ -159,7 +159,7 @@
   const engine = fleet.engines.get(id)
   if (!engine) return
   engine.load = Math.max(0, engine.load + tokensDelta)
-  if (tokensDelta < 0) noteRead(fleet, engine, -tokensDelta, now)
+  if (tokensDelta < 0) recordPrefill(fleet, engine, -tokensDelta, now)
   engine.loadChanged = true
   const slot = adapter === undefined ? undefined : engine.places.get(adapter)
   if (!slot) return
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -9,7 +9,7 @@
 import {give, giveLoad, QUIET_MS, unload} from "./placement-orders.js"
 import {dropStrays} from "./placement-strays.js"
 import {renewVersions} from "./placement-versions.js"
-import {tokensIn} from "./reading-rate.js"
+import {prefillTokensIn} from "./prefill-rate.js"
 import {tellNews} from "./placement-news.js"
 import {createPlace, type Fleet, type FleetEngine, heatOf} from "./placement-state.js"
 
@@ -160,7 +160,7 @@
     // `isAvailableSoon` found a slot that holds the adapter unusable.
     if (engine.places.has(adapter) || failedAt.includes(engine.id)) continue
     if (engine.failures > 0 || engine.quietUntil > now + QUIET_MS) continue
-    if (engine.load < tokensIn(fleet, MAX_QUEUE_MS)) return true
+    if (engine.load < prefillTokensIn(fleet, MAX_QUEUE_MS)) return true
   }
   return false
 }
@@ -174,7 +174,7 @@
   }
   for (const engine of fleet.engines.values()) {
     if (
-      engine.load < tokensIn(fleet, REPLICATION_QUEUE_MS) ||
+      engine.load < prefillTokensIn(fleet, REPLICATION_QUEUE_MS) ||
       engine.load < 3 * minQueuedTokens
     )
       continue
--- a/src/core/reading-rate.ts
+++ b/src/core/prefill-rate.ts
@@ -9,7 +9,7 @@
  * Prefill rate (tokens per millisecond) of a typical engine, used until one was busy for
  * a whole span.
  */
-export const FIRST_RATE = 20
+export const INITIAL_PREFILL_RATE = 20
 
 /** Length of a span: several intervals at which boxes report prefilled tokens. */
 const SPAN_MS = 1_000
@@ -23,7 +23,7 @@
 const NEWEST_WEIGHT = 0.2
 
 /** Tokens that an engine prefilled since a time. */
-export interface ReadSpan {
+export interface PrefillSpan {
   since: number
   tokens: number
   /** Whether the engine had waiting work at the start. */
@@ -31,16 +31,16 @@
 }
 
 /** Estimated prefill rate of an engine. */
-export interface ReadingRate {
+export interface PrefillRate {
   tokensPerMs: number
 }
 
-export function createReadingRate(): ReadingRate {
-  return {tokensPerMs: FIRST_RATE}
+export function createPrefillRate(): PrefillRate {
+  return {tokensPerMs: INITIAL_PREFILL_RATE}
 }
 
 /** Records prompt tokens that an engine prefilled. */
-export function noteRead(
+export function recordPrefill(
   {reading}: Fleet,
   engine: FleetEngine,
   tokens: number,
@@ -58,6 +58,6 @@
 }
 
 /** Returns the number of tokens that an engine prefills in `ms`. */
-export function tokensIn({reading}: Fleet, ms: number): number {
+export function prefillTokensIn({reading}: Fleet, ms: number): number {
   return reading.tokensPerMs * ms
 }
--- a/src/core/prefix-memory.ts
+++ b/src/core/prefix-history.ts
@@ -19,12 +19,12 @@
   readonly at: number
 }
 
-export class PrefixMemory {
+export class PrefixHistory {
   private readonly counts_ = new Map<string, Count>()
   private readonly prefixes_ = new Map<string, Set<string>>()
 
   /** Records a request that was sent. */
-  note(route: string, adapter: string, prefix: string, now: number): void {
+  recordRequest(route: string, adapter: string, prefix: string, now: number): void {
     const key = `${route} ${adapter}`
     const score = this.score(key, now) + 1
     this.counts_.delete(key)
@@ -41,7 +41,7 @@
    * Returns the probability that a box has sent a request with this adapter and prefix
    * before.
    */
-  keptShare(route: string, adapter: string, boxes: number, now: number): number {
+  cacheProbability(route: string, adapter: string, boxes: number, now: number): number {
     const requests = this.score(`${route} ${adapter}`, now) * Math.max(1, boxes)
     const prefixCount = Math.max(1, this.prefixes_.get(route)?.size ?? 1)
     return 1 - Math.exp(-requests / prefixCount)
--- a/src/core/rate-pacer.ts
+++ b/src/core/rate-pacer.ts
@@ -12,8 +12,8 @@
   SendAllowanceGrant,
   SentCounts
 } from "../types/rate-messages.js"
-import {SENT_STEP_MS, SPAN_MS} from "./recent-sends.js"
-import {USE_MS} from "./send-allowances.js"
+import {SENT_STEP_MS, RATE_WINDOW_MS} from "./recent-sends.js"
+import {SEND_ALLOWANCE_LIFETIME_MS} from "./send-allowances.js"
 
 /**
  * Granted share of the rate; the bucket size, in seconds of the rate, and its minimum.
@@ -44,7 +44,7 @@
  * Retention of a history entry: a rate window after the last use of its allowances, which
  * can be granted up to a step after the entry's time.
  */
-const HISTORY_MS = SPAN_MS + USE_MS + HISTORY_STEP_MS
+const HISTORY_MS = RATE_WINDOW_MS + SEND_ALLOWANCE_LIFETIME_MS + HISTORY_STEP_MS
 
 /**
  * Requests of this rank or a higher one get nothing in advance. Future capacity goes to
@@ -64,7 +64,7 @@
 
 export class RatePacer {
   /** Granted and refused allowances since this box became the leader. */
-  given = 0
+  granted = 0
   refused = 0
   private readonly buckets_ = new Map<string, Bucket>()
 
@@ -74,7 +74,7 @@
   constructor(private readonly rateOf_: (server: string) => number | undefined) {}
 
   /** Answers a request of a box. */
-  ask(
+  handleRequest(
     box: string,
     {server, ask, count, rank, waitMs}: SendAllowanceRequest,
     now: number
@@ -102,7 +102,7 @@
   }
 
   /** Counts what a box sent to a server before it learned of the rate. */
-  noteSent({server, counts}: SentCounts, now: number): void {
+  recordSent({server, counts}: SentCounts, now: number): void {
     const perSecond = this.rateOf_(server)
     if (perSecond === undefined) return
     const bucket = this.fill(server, Math.max(MIN_PER_SECOND, perSecond), now)
@@ -114,12 +114,12 @@
   }
 
   /** Returns the number of history entries of a server. */
-  stepsOf(server: string): number {
+  historySize(server: string): number {
     return this.buckets_.get(server)?.history.length ?? 0
   }
 
   /** Removes servers that no longer advertise a rate. */
-  forget(): void {
+  removeUnlimited(): void {
     for (const server of this.buckets_.keys()) {
       if (this.rateOf_(server) === undefined) this.buckets_.delete(server)
     }
@@ -164,7 +164,7 @@
   }
 
   private grant(bucket: Bucket, amount: number, at: number): void {
-    this.given += amount
+    this.granted += amount
     bucket.tokens -= amount
     bucket.refused.clear()
     const last = bucket.history.at(-1)
@@ -175,7 +175,7 @@
 
 /** Returns the number of requests that a rate allows in a rate window. */
 function maxPerWindow(perSecond: number): number {
-  return Math.ceil((perSecond * SPAN_MS) / 1_000)
+  return Math.ceil((perSecond * RATE_WINDOW_MS) / 1_000)
 }
 
 function countAll(history: Bucket["history"]): number {
--- a/src/core/rate-windows.ts
+++ b/src/core/rate-windows.ts
@@ -55,7 +55,7 @@
     this.retries_ = new SlidingCount(options_.windowMs)
   }
 
-  noteRequest(now: number): void {
+  recordRequest(now: number): void {
     this.requests_.add(now)
   }
 
@@ -63,7 +63,7 @@
    * Returns how many retries the box can make without a grant of the leader. The slack is
    * divided among `boxes`.
    */
-  left(now: number, boxes: number): number {
+  remaining(now: number, boxes: number): number {
     const {ratio, slack} = this.options_
     const byRequests = ratio * this.requests_.count(now)
     const bySlack = slack / Math.max(1, boxes)
@@ -74,7 +74,7 @@
   }
 
   /** Counts a retry. */
-  spend(now: number): void {
+  recordRetry(now: number): void {
     this.retries_.add(now)
   }
 }
@@ -99,7 +99,7 @@
   ) {}
 
   /** Takes a retry for a request of the service. Returns false if there is none left. */
-  take(service: string, now: number): boolean {
+  tryTake(service: string, now: number): boolean {
     const {slack, windowMs} = this.options_
     const filled = Math.min(1, (now - this.since_) / windowMs)
     const grants = this.grants_.get(service) ?? new SlidingCount(windowMs)
--- a/src/core/recent-sends.ts
+++ b/src/core/recent-sends.ts
@@ -1,12 +1,12 @@
 /** Counts of a box's sends to each backend server in the last seconds, by time step. */
 
 /** Window over which servers count requests for their rate limit. */
-export const SPAN_MS = 4_000
+export const RATE_WINDOW_MS = 4_000
 
 /** Time step of the counts. */
 export const SENT_STEP_MS = 250
 
-const STEPS = SPAN_MS / SENT_STEP_MS
+const STEPS = RATE_WINDOW_MS / SENT_STEP_MS
 
 interface Counts {
   /** Number of the newest step. */
@@ -19,7 +19,7 @@
 export class RecentSends {
   private readonly servers_ = new Map<string, Counts>()
 
-  note(server: string, now: number): void {
+  record(server: string, now: number): void {
     const counts = this.countsAt(server, now)
     const index = counts.step % STEPS
     counts.counts[index] = (counts.counts[index] ?? 0) + 1
--- a/src/core/send-allowances.ts
+++ b/src/core/send-allowances.ts
@@ -5,7 +5,7 @@
 import type {SendAllowanceRequest, SendAllowanceGrant} from "../types/rate-messages.js"
 
 /** An allowance can be used until this time after it was requested. */
-export const USE_MS = 250
+export const SEND_ALLOWANCE_LIFETIME_MS = 250
 
 /** Timeout of a request to the leader. */
 const ANSWER_TIMEOUT_MS = 150
@@ -61,14 +61,14 @@
 }
 
 /** Demand of waiting requests for one server. */
-export interface SendNeed {
+export interface SendDemand {
   readonly count: number
   readonly rank: number
   readonly waitMs: number
 }
 
 /** Parameters of a box's fallback share of a rate. */
-export interface OwnPart {
+export interface FallbackShare {
   readonly perSecond: number
   readonly boxes: number
   /** A random number in [0, 1). */
@@ -103,7 +103,7 @@
    * Returns the time until an allowance that was granted in advance can be used; Infinity
    * if there is none.
    */
-  comesInMs(server: string, now: number): number {
+  msUntilUsable(server: string, now: number): number {
     const held = this.holdings_.get(server)?.held ?? []
     const usable = held.filter(({left, until}) => left > 0 && until > now)
     return Math.min(...usable.map(({from}) => Math.max(0, from - now)))
@@ -113,7 +113,7 @@
    * Counts a request that is sent to the server, or would be if the box held an
    * allowance.
    */
-  noteDemand(server: string, now: number): void {
+  recordDemand(server: string, now: number): void {
     const holding = this.holdingOf(server, now)
     decayDemand(holding, now)
     holding.demand += 1 / DEMAND_AVERAGE_MS
@@ -124,9 +124,9 @@
    * allowances, or has to wait. `isDue` means that a server in demand should get at least
    * one request, since its answer may change the rate.
    */
-  collect(
+  buildRequest(
     server: string,
-    {count, rank, waitMs}: SendNeed,
+    {count, rank, waitMs}: SendDemand,
     isDue: boolean,
     now: number
   ): SendAllowanceRequest | undefined {
@@ -150,7 +150,7 @@
    * Handles the leader's answer. Returns false if it does not belong to the open request;
    * otherwise waiting requests have to be evaluated again.
    */
-  take(
+  handleGrant(
     {server, ask, count, inMs = 0, roomInMs}: SendAllowanceGrant,
     now: number
   ): boolean {
@@ -160,7 +160,7 @@
     holding.open = undefined
     removeUsed(holding, now)
     if (count > 0) {
-      const until = open.at + inMs + USE_MS
+      const until = open.at + inMs + SEND_ALLOWANCE_LIFETIME_MS
       holding.held.push({left: count, from: now + inMs, until})
     }
     if (roomInMs !== undefined) holding.fullUntil = now + roomInMs
@@ -170,7 +170,7 @@
   /**
    * Whether the last request to the leader timed out and the pause after it is not over.
    */
-  isSilent(server: string, now: number): boolean {
+  isLeaderSilent(server: string, now: number): boolean {
     const holding = this.holdings_.get(server)
     if (!holding) return false
     this.checkTimeout(holding, now)
@@ -181,9 +181,9 @@
    * Adds an allowance of the fallback share if one is due. `draw` spreads the first sends
    * of the boxes. `running` is the time without suspensions of the process.
    */
-  takeOwn(
+  addFallback(
     server: string,
-    {perSecond, boxes, draw}: OwnPart,
+    {perSecond, boxes, draw}: FallbackShare,
     running: number,
     now: number
   ): void {
@@ -200,7 +200,7 @@
     }
     holding.fallbackNextAt = running + intervalMs
     removeUsed(holding, now)
-    holding.held.push({left: 1, from: now, until: now + USE_MS})
+    holding.held.push({left: 1, from: now, until: now + SEND_ALLOWANCE_LIFETIME_MS})
   }
 
   /** Handles a change of leader: answers and room of the last leader no longer apply. */
--- a/src/core/server-notices.ts
+++ b/src/core/server-notices.ts
@@ -80,7 +80,7 @@
     return
   }
   const advertisedRate = {perSecond, sentAt: sentAt ?? now, heardAt: now}
-  if (!box.rates.take(backend, advertisedRate)) return
+  if (!box.rates.apply(backend, advertisedRate)) return
   sendRateUpdate(box, backend, now)
   handleRateChange(box, backend, "answer", now)
 }
@@ -95,7 +95,7 @@
   for (const update of updates) {
     const {server} = update
     if (!box.backends.known.has(server)) continue
-    const result = box.rates.takeNews(update, now)
+    const result = box.rates.applyRemote(update, now)
     // The leader sends a change to all boxes. A box with a newer rate limit sends it to
     // the leader, which does not reply with its own.
     const shouldSend = source === "box" ? result === "changed" : result === "stands"
@@ -105,7 +105,7 @@
 }
 
 function sendRateUpdate(box: BoxServing, server: string, now: number): void {
-  const update = box.rates.tell(server, now)
+  const update = box.rates.toMessage(server, now)
   if (update) box.effects.push({type: "rate-news", news: update})
 }
 
--- a/src/core/server-rates.ts
+++ b/src/core/server-rates.ts
@@ -8,7 +8,7 @@
 import type {RateReport} from "../types/rate-messages.js"
 
 /** Rate limit that a server advertised. Times are of the box's clock. */
-export interface RateWord {
+export interface AdvertisedRate {
   /** Undefined if the server no longer advertises a rate. */
   readonly perSecond: number | undefined
   /** When the request was sent, and when its answer arrived. */
@@ -26,7 +26,7 @@
 const MAX_DELAY_MS = 300
 
 export class ServerRates {
-  private readonly rates_ = new Map<string, RateWord>()
+  private readonly rates_ = new Map<string, AdvertisedRate>()
 
   /** Returns the rate (requests per second) that a server advertises, if any. */
   of(server: string): number | undefined {
@@ -46,7 +46,7 @@
   }
 
   /** Applies an advertised rate. Returns whether the rate in force has changed. */
-  take(server: string, update: RateWord): boolean {
+  apply(server: string, update: AdvertisedRate): boolean {
     const known = this.rates_.get(server)
     const next = merge(known, update)
     if (next === known || !next) return false
@@ -60,18 +60,18 @@
    * Applies a rate that another box received. Returns `stands` if the rate known here
    * takes precedence and differs.
    */
-  takeNews(news: RateReport, now: number): "changed" | "known" | "stands" {
+  applyRemote(news: RateReport, now: number): "changed" | "known" | "stands" {
     const heardAt = now - news.heardAgoMs
     const sentAt = now - news.sentAgoMs - MAX_DELAY_MS
     const {server, perSecond} = news
-    if (this.take(server, {perSecond, sentAt, heardAt})) return "changed"
+    if (this.apply(server, {perSecond, sentAt, heardAt})) return "changed"
     return this.of(server) === perSecond ? "known" : "stands"
   }
 
   /**
    * Returns the message about a server for other boxes. Undefined if nothing is known.
    */
-  tell(server: string, now: number): RateReport | undefined {
+  toMessage(server: string, now: number): RateReport | undefined {
     const rate = this.rates_.get(server)
     if (!rate) return undefined
     const {perSecond, sentAt, heardAt} = rate
@@ -97,7 +97,10 @@
 }
 
 /** Returns the entry that applies after an update. */
-function merge(known: RateWord | undefined, update: RateWord): RateWord | undefined {
+function merge(
+  known: AdvertisedRate | undefined,
+  update: AdvertisedRate
+): AdvertisedRate | undefined {
   if (!known) return update.perSecond === undefined ? undefined : update
   // The update is older than the known entry.
   if (update.heardAt <= known.sentAt) return known
--- a/src/core/serving-events.ts
+++ b/src/core/serving-events.ts
@@ -82,7 +82,7 @@
   /** The store was read at `at`, or later, for the configuration in force in this box. */
   | {readonly type: "config-read"; readonly at: number}
   /** The current era of the store. `restored` is true when a restore is first noticed. */
-  | {readonly type: "era"; readonly known: KnownEra; readonly rose: boolean}
+  | {readonly type: "era"; readonly known: KnownEra; readonly restored: boolean}
   /**
    * This box started after a restore of the store. Until `until` the entries that it
    * reads may be restored ones.
@@ -145,7 +145,7 @@
     }
   | {readonly type: "stop"}
   /** Load orders are possible after `inMs`, from the current leader or the next one. */
-  | {readonly type: "orders"; readonly led: boolean; readonly inMs: number}
+  | {readonly type: "orders"; readonly hasLeader: boolean; readonly inMs: number}
   /** Number of boxes in the system. */
   | {readonly type: "boxes"; readonly boxes: number}
   | {readonly type: "tick"; readonly mayOrder: boolean}
--- a/src/core/serving-fleet.ts
+++ b/src/core/serving-fleet.ts
@@ -19,7 +19,7 @@
   takeNeed,
   takeUses
 } from "./placement-uses.js"
-import {DEFAULT_USAGE, limitIn, type UsageOptions} from "./usage-limits.js"
+import {DEFAULT_USAGE, windowLimit, type UsageOptions} from "./usage-limits.js"
 import {runningMs} from "./suspensions.js"
 import {type LedgerEffect, UsageLedger} from "./usage-ledger.js"
 import {RatePacer} from "./rate-pacer.js"
@@ -32,7 +32,7 @@
   /** Defined only while this box is the leader. */
   fleet: Fleet | undefined
   /** Retries that this box, as the leader, grants to other boxes. */
-  retries?: RetryPool
+  retryPool?: RetryPool
   /** Usage of organisations, tracked while this box is the leader. */
   ledger?: UsageLedger
   ledgerEffects?: LedgerEffect[]
@@ -41,7 +41,11 @@
 }
 
 /** Applies an event of the leader, or the start or end of this box's leadership. */
-export function takeFleet(state: RoutedState, event: FleetEvent, now: number): void {
+export function applyFleetEvent(
+  state: RoutedState,
+  event: FleetEvent,
+  now: number
+): void {
   if (event.type === "lead") return startLeadership(state, now)
   if (event.type === "lead-over") {
     state.fleet = undefined
@@ -68,26 +72,28 @@
         : takeMissing(fleet, event.engine, event.adapter, now)
     case "ask-retry": {
       const {box, id, service} = event
-      const allowed = state.retries?.take(service, running) ?? false
+      const allowed = state.retryPool?.tryTake(service, running) ?? false
       fleet.effects.push({type: "retry", box, id, allowed})
       return
     }
     case "usage":
-      return state.ledger?.take(event.box, event.ask, event.entries, running)
+      return state.ledger?.handleUsage(event.box, event.ask, event.entries, running)
     case "usage-read":
-      return state.ledger?.takeStored(event.outlooks, running)
+      return state.ledger?.handleStored(event.outlooks, running)
     case "usage-close":
       return state.ledger?.close(running)
     case "usage-saved":
-      return state.ledger?.noteSaved(event.save, event.ok, running)
+      return state.ledger?.handleSaved(event.save, event.ok, running)
     case "send-asks": {
       const {box, asks} = event
-      const grants = asks.flatMap(ask => state.pacer?.ask(box, ask, running) ?? [])
+      const grants = asks.flatMap(
+        ask => state.pacer?.handleRequest(box, ask, running) ?? []
+      )
       fleet.effects.push({type: "send-grants", box, grants})
       return
     }
     case "sent-lately":
-      for (const sent of event.sent) state.pacer?.noteSent(sent, running)
+      for (const sent of event.sent) state.pacer?.recordSent(sent, running)
       return
     case "box-gone":
       state.ledger?.forgetBox(event.box)
@@ -106,7 +112,7 @@
 function startLeadership(state: RoutedState, now: number): void {
   state.fleet = createFleet(now)
   state.serving.leads = true
-  state.retries = new RetryPool(
+  state.retryPool = new RetryPool(
     state.serving.options.retry,
     runningMs(state.serving, now)
   )
@@ -117,7 +123,7 @@
   createLedger(state)
   const {rates} = state.serving
   state.pacer = new RatePacer(server => rates.of(server))
-  listEngines(state, now)
+  updateEngineList(state, now)
   for (const [id, held] of state.serving.held) {
     const engine = state.fleet.engines.get(id)
     for (const [adapter, at] of held) engine?.copies.set(adapter, at)
@@ -137,7 +143,7 @@
   state.ledger = new UsageLedger(usageOptionsOf(serving), limits, effect =>
     effects.push(effect)
   )
-  if (serving.table && serving.table.limited.size > 0) state.ledger.begin()
+  if (serving.table && serving.table.limited.size > 0) state.ledger.startReading()
 }
 
 function usageOptionsOf({options}: BoxServing): UsageOptions {
@@ -148,11 +154,11 @@
 function usageLimitsOf(serving: BoxServing): Map<string, number> {
   const limits = [...(serving.table?.limited ?? [])]
   const usage = usageOptionsOf(serving)
-  return new Map(limits.map(([name, limit]) => [name, limitIn(limit, usage)]))
+  return new Map(limits.map(([name, limit]) => [name, windowLimit(limit, usage)]))
 }
 
 /** Updates the leader's list of engines from the list of backend servers. */
-export function listEngines({fleet, serving}: RoutedState, now: number): void {
+export function updateEngineList({fleet, serving}: RoutedState, now: number): void {
   const services = serving.table?.services
   if (!fleet || !services) return
   const listed = [...serving.backends.known.values()].map(({record}) => record)
--- a/src/core/serving.ts
+++ b/src/core/serving.ts
@@ -37,7 +37,7 @@
 import {noteSuspended, runningMs} from "./suspensions.js"
 import {takeNotice, takeRateNews} from "./server-notices.js"
 import {buildRouteTable} from "./route-table.js"
-import {listEngines, type RoutedState, takeFleet} from "./serving-fleet.js"
+import {updateEngineList, type RoutedState, applyFleetEvent} from "./serving-fleet.js"
 import type {SendAllowanceGrant} from "../types/rate-messages.js"
 import type {
   FleetEvent,
@@ -78,7 +78,7 @@
   const {serving} = state
   noteSuspended(state, suspendedMs)
   applyServingEvent(state, event as ServingEvent, now)
-  takeFleet(state, event as FleetEvent, now)
+  applyFleetEvent(state, event as FleetEvent, now)
   const effects = drainEffects(serving)
   if (!state.fleet) return {state, effects}
   const ledgers = state.ledgerEffects?.splice(0) ?? []
@@ -114,7 +114,7 @@
     case "may-retry":
       return takeRetry(serving, event.id, event.allowed, now)
     case "allowances":
-      serving.stock.take(event.ask, event.grants, now)
+      serving.stock.handleGrants(event.ask, event.grants, now)
       return tickRequests(serving, now)
     case "leader-new":
       serving.stock.beginTerm()
@@ -124,7 +124,7 @@
       return tellLeader(serving)
     case "server-says": {
       const {backend, notice, sentAt} = event
-      if (takeNotice(serving, backend, notice, sentAt, now)) listEngines(state, now)
+      if (takeNotice(serving, backend, notice, sentAt, now)) updateEngineList(state, now)
       return copyServerLimits(state, backend)
     }
     case "rates":
@@ -167,7 +167,7 @@
   grants: readonly SendAllowanceGrant[],
   now: number
 ): void {
-  const changed = grants.filter(grant => serving.allowances.take(grant, now))
+  const changed = grants.filter(grant => serving.allowances.handleGrant(grant, now))
   if (changed.length === 0) return
   for (const request of listPaced(serving)) advance(serving, request, now)
 }
@@ -183,7 +183,7 @@
       // The configuration version never decreases within a process.
       if ((serving.table?.config.version ?? -1) >= event.config.version) return
       serving.table = buildRouteTable(event.config)
-      return listEngines(state, now)
+      return updateEngineList(state, now)
     case "backends":
       replaceBackends(
         state,
@@ -219,7 +219,7 @@
     case "config-read":
       return noteConfigRead(serving, event.at)
     case "era":
-      return applyEra(state, event.known, event.rose, now)
+      return applyEra(state, event.known, event.restored, now)
     case "copied":
       serving.backends = noteCopy(serving.backends, event.until)
       // This box does not know when the store was restored, so it assumes now.
@@ -241,7 +241,7 @@
       }
       return
     case "orders":
-      serving.led = event.led
+      serving.led = event.hasLeader
       serving.ordersFrom = now + event.inMs
       return
     case "boxes":
@@ -263,7 +263,7 @@
 ): void {
   noteEra(serving, known, restored)
   if (!restored) return
-  ledger?.forgetStored()
+  ledger?.invalidateStored()
   serving.backends = noteRise(serving.backends, known.by, now)
   if (serving.readBeforeEra === undefined) {
     serving.backends = noteCopy(serving.backends, known.by + COPIED_ENTRY_MS)
@@ -296,7 +296,7 @@
     note(serving, event, {backend, source})
   }
   serving.backends = after
-  listEngines(state, now)
+  updateEngineList(state, now)
 }
 
 function tick(state: RoutedState, mayOrder: boolean, now: number): void {
@@ -312,7 +312,7 @@
   tickRequests(serving, now)
   if (fleet) planFleet(fleet, mayOrder, now)
   state.ledger?.tick(runningMs(serving, now))
-  state.pacer?.forget()
+  state.pacer?.removeUnlimited()
 }
 
 function removeGoneEngines({engines, held, backends}: BoxServing): void {
--- a/src/core/store-calls.ts
+++ b/src/core/store-calls.ts
@@ -31,7 +31,7 @@
  * Returns the counts by spans of `spanS` seconds, most frequent calls first. 0 means one
  * span.
  */
-export function tellStoreCalls(lines: readonly LogLine[], spanS: number): StoreCallRow[] {
+export function sumStoreCalls(lines: readonly LogLine[], spanS: number): StoreCallRow[] {
   let firstTime = Infinity
   for (const {time} of lines) firstTime = Math.min(firstTime, time)
   const rows = new Map<string, Row>()
--- a/src/core/usage-ledger.ts
+++ b/src/core/usage-ledger.ts
@@ -13,8 +13,12 @@
   AllowanceGrant,
   UsageProjections
 } from "../types/usage-messages.js"
-import {CountedUsage, STEP_MS} from "./counted-usage.js"
-import {ALLOWANCE_MS, countedMs, type UsageOptions} from "./usage-limits.js"
+import {CountedUsage, PROJECTION_STEP_MS} from "./counted-usage.js"
+import {
+  ALLOWANCE_LIFETIME_MS,
+  usageLifetimeMs,
+  type UsageOptions
+} from "./usage-limits.js"
 
 /**
  * Growth that the stored projection allows, as a share of the limit. More means fewer
@@ -106,11 +110,14 @@
     private readonly limits_: UsageLimits,
     private readonly emit_: (effect: LedgerEffect) => void
   ) {
-    this.steps_ = Math.ceil((ALLOWANCE_MS + countedMs(options_)) / STEP_MS) + 1
+    this.steps_ =
+      Math.ceil(
+        (ALLOWANCE_LIFETIME_MS + usageLifetimeMs(options_)) / PROJECTION_STEP_MS
+      ) + 1
   }
 
   /** Starts to read the projection of earlier leaders, unless that was started before. */
-  begin(): void {
+  startReading(): void {
     if (this.phase_ !== "new") return
     this.phase_ = "reading"
     this.emit_({type: "read-usage"})
@@ -121,11 +128,12 @@
    * is undefined, the stored projection is from an older backup, and all limits may be
    * used up.
    */
-  takeStored(outlooks: UsageProjections | undefined, now: number): void {
+  handleStored(outlooks: UsageProjections | undefined, now: number): void {
     if (this.phase_ === "known") return
     this.phase_ = "known"
     if (outlooks) this.addStored(outlooks, now)
-    else this.exhaustedUntil_ = now + ALLOWANCE_MS + countedMs(this.options_)
+    else
+      this.exhaustedUntil_ = now + ALLOWANCE_LIFETIME_MS + usageLifetimeMs(this.options_)
     this.save(now)
   }
 
@@ -133,7 +141,7 @@
    * Handles a restore of the store from an older backup: the projection that it holds may
    * not be this leader's.
    */
-  forgetStored(): void {
+  invalidateStored(): void {
     for (const account of this.accounts_.values()) account.stored = []
     this.saving_ = undefined
   }
@@ -143,7 +151,7 @@
       const {counted} = this.accountOf(organisation)
       projection.forEach((amount, step) => {
         const expiring = amount - (projection[step + 1] ?? 0)
-        if (expiring > 0) counted.add(expiring, now + (step + 1) * STEP_MS)
+        if (expiring > 0) counted.add(expiring, now + (step + 1) * PROJECTION_STEP_MS)
       })
     }
   }
@@ -162,13 +170,13 @@
   }
 
   /** Handles a message of a box: its usage and its allowance requests. */
-  take(
+  handleUsage(
     box: string,
     ask: number,
     entries: readonly AllowanceRequest[],
     now: number
   ): void {
-    this.begin()
+    this.startReading()
     for (const entry of entries) this.recordUsage(box, entry, now)
     this.answerRequests(
       entries.filter(({want}) => want > 0).map(entry => ({box, ask, entry, at: now})),
@@ -181,7 +189,7 @@
    * Handles the result of a write. If `ok` is false, the write may or may not have
    * happened.
    */
-  noteSaved(save: number, ok: boolean, now: number): void {
+  handleSaved(save: number, ok: boolean, now: number): void {
     if (save !== this.lastSave_) return
     const saved = this.saving_
     this.saving_ = undefined
@@ -227,7 +235,7 @@
   private recordUsage(box: string, entry: AllowanceRequest, now: number): void {
     const {organisation, used, returned} = entry
     const {counted, held} = this.accountOf(organisation)
-    const span = countedMs(this.options_)
+    const span = usageLifetimeMs(this.options_)
     const portions = (held.get(box) ?? []).filter(({until}) => until + span > now)
     held.set(box, portions)
     // Returned allowances have expired, so they are taken from the oldest portions and
@@ -276,7 +284,7 @@
     const storedRoom = this.storedRoom(account, now)
     if (Math.min(need, room) > storedRoom) return undefined
     if (need > room) {
-      const roomInMs = Math.round(account.counted.timeUntil(limit - need, now))
+      const roomInMs = Math.round(account.counted.msUntilAtMost(limit - need, now))
       return {organisation, amount: Math.floor(room), roomInMs}
     }
     const extra = Math.min(1, room / (SCARCE_SHARE * limit)) * (want - need)
@@ -286,23 +294,25 @@
 
   private grant(box: string, {organisation, amount}: AllowanceGrant, now: number): void {
     const {counted, held} = this.accountOf(organisation)
-    const until = now + ALLOWANCE_MS
+    const until = now + ALLOWANCE_LIFETIME_MS
     const portions = held.get(box) ?? []
     portions.push({amount, until})
     held.set(box, portions)
-    counted.add(amount, until + countedMs(this.options_))
+    counted.add(amount, until + usageLifetimeMs(this.options_))
   }
 
   /** Returns how much can be granted before the projection has to be stored again. */
   private storedRoom({counted, stored}: Account, now: number): number {
-    const projection = counted.outlook(now, this.steps_)
+    const projection = counted.project(now, this.steps_)
     return Math.min(...projection.map((amount, step) => (stored[step] ?? 0) - amount))
   }
 
   private projectionOf({counted}: Account, limit: number, now: number): number[] {
-    const projection = counted.outlook(now, this.steps_)
+    const projection = counted.project(now, this.steps_)
     return projection.map((amount, step) =>
-      now + step * STEP_MS < this.exhaustedUntil_ ? Math.max(amount, limit) : amount
+      now + step * PROJECTION_STEP_MS < this.exhaustedUntil_
+        ? Math.max(amount, limit)
+        : amount
     )
   }
 
--- a/src/core/usage-limits.ts
+++ b/src/core/usage-limits.ts
@@ -26,23 +26,26 @@
 export const DEFAULT_USAGE: UsageOptions = {windowMs: 10_000, overage: 0, slack: 0}
 
 /** Time from the request of an allowance until its last use. */
-export const ALLOWANCE_MS = 4_000
+export const ALLOWANCE_LIFETIME_MS = 4_000
 
 /** A charge is refunded if its request has not left the box by then. */
-export const CHARGE_MS = 900
+export const CHARGE_TIMEOUT_MS = 900
 
 /** Longest delay from a box to a backend server, and drift between their clocks. */
 const DELIVERY_MS = 100
 
 /** Returns the usage allowed in any window. */
-export function limitIn({perSecond, burst}: UsageLimit, options: UsageOptions): number {
+export function windowLimit(
+  {perSecond, burst}: UsageLimit,
+  options: UsageOptions
+): number {
   const {windowMs, overage, slack} = options
   return ((perSecond * windowMs) / 1_000 + burst) * (1 + overage) + slack
 }
 
 /** Returns how long usage counts. */
-export function countedMs({windowMs}: UsageOptions): number {
-  return windowMs + CHARGE_MS + DELIVERY_MS
+export function usageLifetimeMs({windowMs}: UsageOptions): number {
+  return windowMs + CHARGE_TIMEOUT_MS + DELIVERY_MS
 }
 
 /** Returns what one request uses. `usage` is the token count that its caller declares. */
--- a/test/box-requests.test.ts
+++ b/test/box-requests.test.ts
@@ -10,7 +10,7 @@
 import {takeBackends} from "../src/core/backend-list.js"
 import {noteNews} from "../src/core/box-news.js"
 import {STALE_MS} from "../src/core/news-age.js"
-import {PrefixMemory} from "../src/core/prefix-memory.js"
+import {PrefixHistory} from "../src/core/prefix-history.js"
 import type {Route} from "../src/types/fleet.js"
 import {engines, record, ROUTE, STREAM, Subject, WEIGHTS} from "./support/box-subject.js"
 
@@ -257,7 +257,8 @@
   takePicture(subject.box, held, subject.now)
   takeLoads(subject.box, {order: names, hundreds: load})
   const {prefixes} = subject.box
-  for (let i = 0; i < 9; i++) prefixes.note(STREAM.name, "x", prefix, subject.now)
+  for (let i = 0; i < 9; i++)
+    prefixes.recordRequest(STREAM.name, "x", prefix, subject.now)
   const shared = {key: prefix, tokens: 5_000}
   subject.arrive(STREAM, {weights: WEIGHTS, tokens: 6_000, prefix: shared})
   const sent = subject.effects.find(effect => effect.type === "send")
@@ -288,15 +289,15 @@
 t.test(
   "the cached share of a prefix depends on the number of earlier requests",
   async t => {
-    const memory = new PrefixMemory()
-    t.equal(memory.keptShare("r", "x", 10, 0), 0, "no earlier request")
-    memory.note("r", "x", "p1", 0)
-    t.ok(memory.keptShare("r", "x", 10, 0) > 0.99, "the only prefix")
-    for (let i = 0; i < 40; i++) memory.note("r", "other", `p${i}`, 0)
-    const share = memory.keptShare("r", "x", 10, 0)
+    const memory = new PrefixHistory()
+    t.equal(memory.cacheProbability("r", "x", 10, 0), 0, "no earlier request")
+    memory.recordRequest("r", "x", "p1", 0)
+    t.ok(memory.cacheProbability("r", "x", 10, 0) > 0.99, "the only prefix")
+    for (let i = 0; i < 40; i++) memory.recordRequest("r", "other", `p${i}`, 0)
+    const share = memory.cacheProbability("r", "x", 10, 0)
     t.ok(share > 0.1 && share < 0.4, "ten requests and forty prefixes")
-    t.ok(memory.keptShare("r", "x", 10, 60_000) < 0.01, "requests long ago")
-    t.equal(memory.keptShare("r", "new", 10, 0), 0)
+    t.ok(memory.cacheProbability("r", "x", 10, 60_000) < 0.01, "requests long ago")
+    t.equal(memory.cacheProbability("r", "new", 10, 0), 0)
   }
 )
 
--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -1,6 +1,6 @@
 /** Requests that crash servers are quarantined soon, and other requests are served. */
 import t from "tap"
-import {CrashList, TRIALS_MS} from "../src/core/crash-list.js"
+import {CrashList, TRIAL_DELAYS_MS} from "../src/core/crash-list.js"
 import {
   type CrashingOptions,
   type CrashingResult,
@@ -84,9 +84,9 @@
     t.equal(crashes.add("f", "one", 0), true)
     t.equal(crashes.add("f", "one", 1), false)
     t.equal(crashes.add("f", "two", 2), true)
-    t.notOk(crashes.isStopped("f"))
+    t.notOk(crashes.isQuarantined("f"))
     crashes.add("f", "three", 3)
-    t.ok(crashes.isStopped("f"))
+    t.ok(crashes.isQuarantined("f"))
   }
 )
 
@@ -95,26 +95,27 @@
   one.add("f", "a", 0)
   one.add("f", "b", 0)
   other.add("f", "c", 0)
-  const [mine, theirs] = [one.tell(5), other.tell(5)]
-  t.same(one.tellMissing(theirs, 5), mine, "the other list lacks two incarnations")
+  const [mine, theirs] = [one.toMessages(5), other.toMessages(5)]
+  t.same(one.listMissing(theirs, 5), mine, "the other list lacks two incarnations")
   for (const record of theirs) one.merge(record, 5)
   for (const record of mine) other.merge(record, 5)
-  t.ok(one.isStopped("f"))
-  t.ok(other.isStopped("f"))
-  t.same(one.tellMissing(other.tell(5), 5), [])
+  t.ok(one.isQuarantined("f"))
+  t.ok(other.isQuarantined("f"))
+  t.same(one.listMissing(other.toMessages(5), 5), [])
 })
 
 t.test("a quarantined request is tried at most twice, by any leader", async t => {
   const [first, next] = [new CrashList(), new CrashList()]
   for (const incarnation of ["a", "b", "c"]) first.add("f", incarnation, 0)
-  t.equal(first.trialInMs("f", 1_000), TRIALS_MS[0] - 1_000)
-  t.equal(first.trialInMs("f", TRIALS_MS[0]), 0)
-  first.noteTrial("f", TRIALS_MS[0])
-  for (const record of first.tell(TRIALS_MS[0])) next.merge(record, TRIALS_MS[0])
-  t.ok(next.trialInMs("f", TRIALS_MS[0]) > 0, "a trial counts on other boxes, too")
-  next.noteTrial("f", 100_000)
+  t.equal(first.trialInMs("f", 1_000), TRIAL_DELAYS_MS[0] - 1_000)
+  t.equal(first.trialInMs("f", TRIAL_DELAYS_MS[0]), 0)
+  first.recordTrial("f", TRIAL_DELAYS_MS[0])
+  for (const record of first.toMessages(TRIAL_DELAYS_MS[0]))
+    next.merge(record, TRIAL_DELAYS_MS[0])
+  t.ok(next.trialInMs("f", TRIAL_DELAYS_MS[0]) > 0, "a trial counts on other boxes, too")
+  next.recordTrial("f", 100_000)
   t.ok(next.trialInMs("f", 3_600_000) > 0)
-  t.ok(next.isStopped("f"))
+  t.ok(next.isQuarantined("f"))
 })
 
 // A new leader that missed a trial would repeat it.
@@ -123,8 +124,8 @@
   for (const crashes of [follower, leader]) {
     for (const incarnation of ["a", "b", "c"]) crashes.add("f", incarnation, 0)
   }
-  follower.noteTrial("f", TRIALS_MS[0])
-  for (const record of follower.tellMissing(leader.tell(6_000), 6_000)) {
+  follower.recordTrial("f", TRIAL_DELAYS_MS[0])
+  for (const record of follower.listMissing(leader.toMessages(6_000), 6_000)) {
     leader.merge(record, 6_000)
   }
   t.ok(leader.trialInMs("f", 6_000) > 0)
@@ -135,5 +136,5 @@
   for (const incarnation of ["a", "b", "c"]) crashes.add("stopped", incarnation, 0)
   for (let i = 0; i < 2_000; i++) crashes.add(`f-${i}`, "a", i)
   t.ok(crashes.size <= MOST_RECORDS)
-  t.ok(crashes.isStopped("stopped"))
+  t.ok(crashes.isQuarantined("stopped"))
 })
--- a/test/patterns/crashing-requests.ts
+++ b/test/patterns/crashing-requests.ts
@@ -144,7 +144,7 @@
     })
     this.boxes_.push({serving, fleet: undefined})
     this.step(index, {type: "boxes", boxes: this.options_.boxes})
-    this.step(index, {type: "orders", led: true, inMs: 0})
+    this.step(index, {type: "orders", hasLeader: true, inMs: 0})
     this.listServers(index)
   }
 
@@ -268,7 +268,7 @@
     if (now < from || now >= to) return false
     this.agenda_.later(to - now, () => {
       const leader = this.boxes_[0] as RoutedState
-      const records = leader.serving.crashes.tell(this.agenda_.now)
+      const records = leader.serving.crashes.toMessages(this.agenda_.now)
       for (let i = 1; i < this.boxes_.length; i++) {
         const changes = {records, cleared: []}
         this.step(i, {type: "crashes", changes, source: "leader-all"})
--- a/test/patterns/limit-ways.ts
+++ b/test/patterns/limit-ways.ts
@@ -4,7 +4,7 @@
  */
 import type {UsageOptions} from "../../src/core/usage-limits.js"
 import {type LedgerEffect, UsageLedger} from "../../src/core/usage-ledger.js"
-import {UsageStock} from "../../src/core/usage-stock.js"
+import {AllowancePool} from "../../src/core/allowance-pool.js"
 import type {UsageProjections} from "../../src/types/usage-messages.js"
 import type {Agenda} from "./agenda.js"
 import {LINK_MS} from "./fleet.js"
@@ -162,38 +162,39 @@
 export class Allowances implements LimitWay {
   messages = 0
   stored: UsageProjections = {}
-  private readonly stocks_: UsageStock[]
+  private readonly stocks_: AllowancePool[]
   private ledger_: UsageLedger | undefined
   private leads_ = 0
 
   constructor(private readonly options_: WayOptions) {
-    this.stocks_ = Array.from({length: options_.boxes}, () => new UsageStock())
+    this.stocks_ = Array.from({length: options_.boxes}, () => new AllowancePool())
     this.lead()
   }
 
   charge(box: number, organisation: string, amount: number): boolean | undefined {
     const {now} = this.options_.agenda
-    const stock = this.stocks_[box] as UsageStock
+    const stock = this.stocks_[box] as AllowancePool
     if (stock.charge(organisation, amount, now)) return true
     return stock.fullForMs(organisation, now) > 0 ? false : undefined
   }
 
   tick(box: number, waiting: ReadonlyMap<string, number>): void {
     const {agenda, reaches} = this.options_
-    const stock = this.stocks_[box] as UsageStock
+    const stock = this.stocks_[box] as AllowancePool
     const needs = new Map([...waiting].map(([name, need]) => [name, {need, least: 0}]))
-    const collected = stock.collect(needs, agenda.now)
+    const collected = stock.buildRequest(needs, agenda.now)
     if (!collected || !reaches(box)) return
     const {ask, entries} = collected
     this.messages++
     const lead = this.leads_
     agenda.later(LINK_MS, () => {
-      if (lead === this.leads_) this.ledger_?.take(String(box), ask, entries, agenda.now)
+      if (lead === this.leads_)
+        this.ledger_?.handleUsage(String(box), ask, entries, agenda.now)
     })
   }
 
   kill(box: number): void {
-    this.stocks_[box] = new UsageStock()
+    this.stocks_[box] = new AllowancePool()
     this.ledger_?.forgetBox(String(box))
   }
 
@@ -211,7 +212,7 @@
     const {usage, limits} = this.options_
     const perform = (effect: LedgerEffect): void => this.perform(effect, lead)
     this.ledger_ = new UsageLedger(usage, limits, perform)
-    this.ledger_.begin()
+    this.ledger_.startReading()
   }
 
   private perform(effect: LedgerEffect, lead: number): void {
@@ -220,9 +221,10 @@
     if (effect.type === "allow") return this.allow(effect)
     agenda.later(STORE_MS, () => {
       if (lead !== this.leads_) return
-      if (effect.type === "read-usage") return ledger?.takeStored(this.stored, agenda.now)
+      if (effect.type === "read-usage")
+        return ledger?.handleStored(this.stored, agenda.now)
       this.stored = effect.outlooks
-      ledger?.noteSaved(effect.save, true, agenda.now)
+      ledger?.handleSaved(effect.save, true, agenda.now)
     })
   }
 
@@ -232,7 +234,8 @@
     this.messages++
     const stock = this.stocks_[to]
     agenda.later(LINK_MS, () => {
-      if (reaches(to) && stock === this.stocks_[to]) stock?.take(ask, grants, agenda.now)
+      if (reaches(to) && stock === this.stocks_[to])
+        stock?.handleGrants(ask, grants, agenda.now)
     })
   }
 }
--- a/test/patterns/many-boxes.ts
+++ b/test/patterns/many-boxes.ts
@@ -104,7 +104,7 @@
       {type: "config", config: CONFIG},
       {type: "backends", records, reading: {source: "store", at: 0}},
       {type: "boxes", boxes: this.options_.boxes},
-      {type: "orders", led: true, inMs: 0},
+      {type: "orders", hasLeader: true, inMs: 0},
       {type: "engines", engines: records.map((_, i) => this.describeEngine(i))}
     ]
     for (const event of events) stepRouted(state, event, 0)
--- a/test/patterns/rate-ways.ts
+++ b/test/patterns/rate-ways.ts
@@ -4,7 +4,7 @@
  */
 import {RatePacer} from "../../src/core/rate-pacer.js"
 import {RecentSends} from "../../src/core/recent-sends.js"
-import {SendAllowances, type SendNeed} from "../../src/core/send-allowances.js"
+import {SendAllowances, type SendDemand} from "../../src/core/send-allowances.js"
 import {rankMembers} from "../../src/utils/rendezvous.js"
 import type {Agenda} from "./agenda.js"
 import {LINK_MS} from "./fleet.js"
@@ -34,7 +34,7 @@
   /** In how long there may be room, milliseconds; 0: there may be now. */
   fullForMs(box: number): number
   /** Once a tick, and as a request begins to wait. */
-  ask(box: number, need: SendNeed, changed: () => void): void
+  ask(box: number, need: SendDemand, changed: () => void): void
   /** The box forgets all. */
   kill(box: number): void
   changeLeader(): void
@@ -137,7 +137,7 @@
   }
 
   noteFree(box: number): void {
-    this.sent_[box]?.note(SERVER, this.options_.agenda.now)
+    this.sent_[box]?.record(SERVER, this.options_.agenda.now)
   }
 
   bind(box: number): void {
@@ -147,7 +147,7 @@
   send(box: number): boolean {
     const {now} = this.options_.agenda
     const allowances = this.boxes_[box]
-    allowances?.noteDemand(SERVER, now)
+    allowances?.recordDemand(SERVER, now)
     if (!allowances?.holds(SERVER, now)) return false
     allowances.use(SERVER, now)
     this.noteFree(box)
@@ -158,28 +158,28 @@
     return this.boxes_[box]?.fullForMs(SERVER, this.options_.agenda.now) ?? 0
   }
 
-  ask(box: number, need: SendNeed, changed: () => void): void {
+  ask(box: number, need: SendDemand, changed: () => void): void {
     const {agenda, reaches, draw, boxes, perSecond} = this.options_
     const allowances = this.boxes_[box] as SendAllowances
-    if (allowances.isSilent(SERVER, agenda.now) && need.count > 0) {
+    if (allowances.isLeaderSilent(SERVER, agenda.now) && need.count > 0) {
       const part = {perSecond, boxes, draw: draw()}
       if (!allowances.holds(SERVER, agenda.now)) {
-        allowances.takeOwn(SERVER, part, agenda.now, agenda.now)
+        allowances.addFallback(SERVER, part, agenda.now, agenda.now)
         if (allowances.holds(SERVER, agenda.now)) changed()
       }
       return
     }
-    const ask = allowances.collect(SERVER, need, false, agenda.now)
+    const ask = allowances.buildRequest(SERVER, need, false, agenda.now)
     if (!ask || !reaches(box)) return
     this.messages++
     const lead = this.leads_
     agenda.later(LINK_MS, () => {
       if (lead !== this.leads_) return
-      const grant = this.pacer_.ask(String(box), ask, agenda.now)
+      const grant = this.pacer_.handleRequest(String(box), ask, agenda.now)
       this.messages++
       agenda.later(LINK_MS, () => {
         if (!reaches(box) || allowances !== this.boxes_[box]) return
-        if (allowances.take(grant, agenda.now)) changed()
+        if (allowances.handleGrant(grant, agenda.now)) changed()
       })
     })
   }
@@ -205,7 +205,7 @@
     if (counts.length === 0 || !reaches(box)) return
     this.messages++
     agenda.later(LINK_MS, () =>
-      this.pacer_.noteSent({server: SERVER, counts}, agenda.now)
+      this.pacer_.recordSent({server: SERVER, counts}, agenda.now)
     )
   }
 
--- a/test/patterns/stale-loads.ts
+++ b/test/patterns/stale-loads.ts
@@ -127,7 +127,7 @@
       {type: "config", config: CONFIG},
       {type: "backends", records, reading: {source: "store", at: 0}},
       {type: "boxes", boxes},
-      {type: "orders", led: true, inMs: 0},
+      {type: "orders", hasLeader: true, inMs: 0},
       {type: "engines", engines: pictures}
     ]
     for (const event of events) stepRouted(state, event, 0)
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -17,7 +17,7 @@
   type FleetEngine,
   type OrderResult
 } from "../src/core/placement-state.js"
-import {tokensIn} from "../src/core/reading-rate.js"
+import {prefillTokensIn} from "../src/core/prefill-rate.js"
 import type {WeightsRequest} from "../src/types/box-messages.js"
 import type {EngineLimits, FleetService} from "../src/types/fleet.js"
 
@@ -438,13 +438,16 @@
     const use = {engine: "e0", adapter: "base/x", begun: 0, ended: 0, tokens}
     takeUses(fleet, "box", [use], now)
   }
-  const before = tokensIn(fleet, 1)
+  const before = prefillTokensIn(fleet, 1)
   tell(100, 0)
   for (let now = 2_000; now <= 10_000; now += 500) tell(-50, now)
-  t.equal(tokensIn(fleet, 1), before, "it was idle")
+  t.equal(prefillTokensIn(fleet, 1), before, "it was idle")
   tell(1_000_000, 10_000)
   for (let now = 10_500; now <= 40_000; now += 500) tell(-5_000, now)
-  t.ok(Math.abs(tokensIn(fleet, 1) - 10) < 0.5, `${tokensIn(fleet, 1)} tokens a ms`)
+  t.ok(
+    Math.abs(prefillTokensIn(fleet, 1) - 10) < 0.5,
+    `${prefillTokensIn(fleet, 1)} tokens a ms`
+  )
 })
 
 t.test("weights that have just come are not taken from those who waited", async t => {
--- a/test/retry-asks.test.ts
+++ b/test/retry-asks.test.ts
@@ -54,7 +54,7 @@
     const records = [recordOf("one"), recordOf("two")]
     this.step({type: "backends", records, reading: {source: "store", at: 0}})
     this.step({type: "boxes", boxes})
-    this.step({type: "orders", led, inMs: 0})
+    this.step({type: "orders", hasLeader: led, inMs: 0})
     const arrival = {
       id: "q",
       name: "n",
@@ -126,7 +126,7 @@
     const pool = new RetryPool(RETRY, 0)
     const takeAll = (now: number): number => {
       let given = 0
-      while (pool.take("s", now)) given++
+      while (pool.tryTake("s", now)) given++
       return given
     }
     t.equal(takeAll(0), 0)
@@ -134,7 +134,7 @@
     t.equal(takeAll(10_000), 35)
     t.equal(takeAll(12_000), 0, "all is given")
     t.equal(takeAll(15_001), 35, "and comes back with the window")
-    t.ok(pool.take("other", 15_001), "each service for itself")
+    t.ok(pool.tryTake("other", 15_001), "each service for itself")
   }
 )
 
--- a/test/server-rates-core.test.ts
+++ b/test/server-rates-core.test.ts
@@ -26,18 +26,18 @@
 
 t.test("only an answer to a request sent after a rate was received ends it", async t => {
   const rates = new ServerRates()
-  t.equal(rates.take(S, advertised(undefined, 0, 1)), false, "there is none to end")
-  t.equal(rates.take(S, advertised(1.2, 0, 10)), true)
+  t.equal(rates.apply(S, advertised(undefined, 0, 1)), false, "there is none to end")
+  t.equal(rates.apply(S, advertised(1.2, 0, 10)), true)
   t.equal(
-    rates.take(S, advertised(undefined, 5, 11)),
+    rates.apply(S, advertised(undefined, 5, 11)),
     false,
     "the request was sent before the rate was received"
   )
   t.equal(rates.of(S), 1.2)
-  t.equal(rates.take(S, advertised(undefined, 11, 12)), true)
+  t.equal(rates.apply(S, advertised(undefined, 11, 12)), true)
   t.equal(rates.of(S), undefined)
   t.equal(
-    rates.take(S, advertised(1.2, 0, 10.5)),
+    rates.apply(S, advertised(1.2, 0, 10.5)),
     false,
     "older than the end of the rate"
   )
@@ -48,43 +48,47 @@
   "of two rates in unknown order the lower one applies, otherwise the newer",
   async t => {
     const rates = new ServerRates()
-    rates.take(S, advertised(2, 0, 10))
-    rates.take(S, advertised(5, 5, 12))
+    rates.apply(S, advertised(2, 0, 10))
+    rates.apply(S, advertised(5, 5, 12))
     t.equal(rates.of(S), 2)
-    rates.take(S, advertised(5, 13, 14))
+    rates.apply(S, advertised(5, 13, 14))
     t.equal(rates.of(S), 5)
-    rates.take(S, advertised(1, 6, 12.5))
+    rates.apply(S, advertised(1, 6, 12.5))
     t.equal(rates.of(S), 5, "sent before")
   }
 )
 
 t.test("a rate received by another box never ends a newer one", async t => {
   const rates = new ServerRates()
-  rates.take(S, advertised(3, 990, 1_000))
+  rates.apply(S, advertised(3, 990, 1_000))
   const ended = {server: S, sentAgoMs: 100, heardAgoMs: 90}
-  t.equal(rates.takeNews(ended, 1_200), "stands", "it may have been sent earlier")
-  t.equal(rates.takeNews({...ended, sentAgoMs: 100}, 2_000), "changed")
-  t.equal(rates.takeNews({...ended, perSecond: 3}, 2_050), "changed")
+  t.equal(rates.applyRemote(ended, 1_200), "stands", "it may have been sent earlier")
+  t.equal(rates.applyRemote({...ended, sentAgoMs: 100}, 2_000), "changed")
+  t.equal(rates.applyRemote({...ended, perSecond: 3}, 2_050), "changed")
 })
 
 t.test("the number of remembered rates is bounded", async t => {
   const rates = new ServerRates()
-  for (let i = 0; i < 5_000; i++) rates.take(`s${i}`, advertised(1, i, i))
+  for (let i = 0; i < 5_000; i++) rates.apply(`s${i}`, advertised(1, i, i))
   t.ok(rates.list().length <= 2_000)
 })
 
 t.test("the leader counts what boxes sent before they knew the rate", async t => {
   const pacer = new RatePacer(() => 1)
-  pacer.noteSent({server: S, counts: [2, 2]}, 0)
+  pacer.recordSent({server: S, counts: [2, 2]}, 0)
   const ask = {server: S, ask: 1, count: 1, rank: 0, waitMs: 0}
-  t.equal(pacer.ask("a", ask, 3_000).count, 0, "four were sent less than 4 s ago")
-  t.equal(pacer.ask("a", ask, 4_300).count, 1)
+  t.equal(
+    pacer.handleRequest("a", ask, 3_000).count,
+    0,
+    "four were sent less than 4 s ago"
+  )
+  t.equal(pacer.handleRequest("a", ask, 4_300).count, 1)
 })
 
 // The leader ignores sends to servers whose rate it does not know.
 t.test("a box reports a rate before its sends", async t => {
   const {box, now} = new Subject()
-  box.recentSends.note(S, now)
+  box.recentSends.record(S, now)
   box.effects = []
   takeNotice(box, S, {...SAYS_NOTHING, perSecond: 2}, now, now)
   const told = box.effects.map(({type}) => type).filter(type => type !== "note")
@@ -102,8 +106,11 @@
   const places = [{adapter: "m/x", version: 1, readyInMs: 0}]
   takePicture(box, [{engine: "one", models: ["m"], places}], now)
   takePicture(box, [{engine: "two", models: ["m"], places: []}], now)
-  const ask = box.allowances.collect("one", NEED, false, now)
-  box.allowances.take({server: "one", ask: ask?.ask ?? 0, count: 0, roomInMs: 900}, now)
+  const ask = box.allowances.buildRequest("one", NEED, false, now)
+  box.allowances.handleGrant(
+    {server: "one", ask: ask?.ask ?? 0, count: 0, roomInMs: 900},
+    now
+  )
   subject.arrive(STREAM, {weights: WEIGHTS})
   const need = subject.effects.find(({type}) => type === "need")
   t.same(need?.type === "need" && need.need.failedAt, ["one"])
@@ -112,20 +119,20 @@
 t.test("the history of a server does not grow with the number of boxes", async t => {
   const pacer = new RatePacer(() => 10_000)
   const counts = Array.from({length: 16}, () => 1)
-  for (let box = 0; box < 200; box++) pacer.noteSent({server: S, counts}, box)
-  t.ok(pacer.stepsOf(S) <= 20, `${pacer.stepsOf(S)} entries`)
+  for (let box = 0; box < 200; box++) pacer.recordSent({server: S, counts}, box)
+  t.ok(pacer.historySize(S) <= 20, `${pacer.historySize(S)} entries`)
 })
 
 t.test("only an urgent request gets an allowance in advance", async t => {
   const pacer = new RatePacer(() => 5)
   const ask = {server: S, ask: 1, count: 1, waitMs: 250}
-  pacer.ask("a", {...ask, rank: 9}, 0)
-  t.same(pacer.ask("a", {...ask, rank: 9}, 50).count, 0)
-  const urgent = pacer.ask("b", {...ask, rank: 0}, 50)
+  pacer.handleRequest("a", {...ask, rank: 9}, 0)
+  t.same(pacer.handleRequest("a", {...ask, rank: 9}, 50).count, 0)
+  const urgent = pacer.handleRequest("b", {...ask, rank: 0}, 50)
   t.equal(urgent.count, 1)
   t.ok((urgent.inMs ?? 0) > 100, `in ${urgent.inMs} ms`)
   t.equal(
-    pacer.ask("c", {...ask, rank: 0}, 60).count,
+    pacer.handleRequest("c", {...ask, rank: 0}, 60).count,
     0,
     "the next allowance is too far off"
   )
@@ -135,29 +142,33 @@
   const pacer = new RatePacer(() => 0)
   let given = 0
   for (let now = 0; now < 60_000; now += 100) {
-    given += pacer.ask("a", {server: S, ask: 1, count: 1, rank: 0, waitMs: 0}, now).count
+    given += pacer.handleRequest(
+      "a",
+      {server: S, ask: 1, count: 1, rank: 0, waitMs: 0},
+      now
+    ).count
   }
   t.ok(given >= 3 && given <= 6, `${given} in a minute`)
 })
 
 t.test("an allowance expires while its box is suspended", async t => {
   const box = new SendAllowances()
-  const ask = box.collect(S, NEED, false, 0)
+  const ask = box.buildRequest(S, NEED, false, 0)
   t.ok(ask)
-  box.take({server: S, ask: ask?.ask ?? 0, count: 1}, 5)
+  box.handleGrant({server: S, ask: ask?.ask ?? 0, count: 1}, 5)
   t.ok(box.holds(S, 5))
   t.notOk(box.holds(S, 3_000))
 })
 
 t.test("without an answer a box keeps to its fallback share", async t => {
   const box = new SendAllowances()
-  box.collect(S, NEED, false, 0)
-  t.notOk(box.isSilent(S, 100))
-  t.ok(box.isSilent(S, 200))
+  box.buildRequest(S, NEED, false, 0)
+  t.notOk(box.isLeaderSilent(S, 100))
+  t.ok(box.isLeaderSilent(S, 200))
   const part = {perSecond: 9, boxes: 9, draw: 0}
   let sent = 0
   for (let now = 200; now < 10_200; now += 10) {
-    if (!box.holds(S, now)) box.takeOwn(S, part, now, now)
+    if (!box.holds(S, now)) box.addFallback(S, part, now, now)
     if (!box.holds(S, now)) continue
     box.use(S, now)
     sent++
@@ -167,9 +178,9 @@
 
 t.test("sends of the last seconds are counted by age", async t => {
   const sends = new RecentSends()
-  sends.note(S, 100)
-  sends.note(S, 300)
-  sends.note(S, 310)
+  sends.record(S, 100)
+  sends.record(S, 300)
+  sends.record(S, 310)
   t.same(sends.list(S, 320).slice(0, 3), [2, 1, 0])
   t.same(sends.list(S, 4_200).slice(-1), [2])
   t.same(sends.list(S, 4_600), [])
--- a/test/store-counter.test.ts
+++ b/test/store-counter.test.ts
@@ -8,7 +8,7 @@
 import {formatStoreCalls} from "../src/bin/sedgectl-tables.js"
 import type {LogLine} from "../src/core/explain.js"
 import {LATE_MS, LIST_MS} from "../src/core/news-age.js"
-import {tellStoreCalls} from "../src/core/store-calls.js"
+import {sumStoreCalls} from "../src/core/store-calls.js"
 import {KvRefused, KvUnavailable, KvUnknown} from "../src/errors.js"
 import type {KvStore} from "../src/ports/ports.js"
 import {pause} from "../src/utils/promises.js"
@@ -246,13 +246,13 @@
   ]
   const first = {caller: "box-list", reason: "first", outcome: "ok"}
   const late = {caller: "box-list", reason: "regular", outcome: "late"}
-  const rows = tellStoreCalls(lines, 0)
+  const rows = sumStoreCalls(lines, 0)
   t.same(rows, [
     {fromS: 0, ...first, calls: 7, processes: 3},
     {fromS: 0, ...late, calls: 5, processes: 1}
   ])
   t.equal(formatStoreCalls(rows).split("\n").at(-1), "all\t\t\t\t12")
-  t.same(tellStoreCalls(lines, 10), [
+  t.same(sumStoreCalls(lines, 10), [
     {fromS: 0, ...first, calls: 6, processes: 2},
     {fromS: 10, ...late, calls: 5, processes: 1},
     {fromS: 10, ...first, calls: 1, processes: 1}
--- a/test/usage-ledger.test.ts
+++ b/test/usage-ledger.test.ts
@@ -1,12 +1,16 @@
 /** The leader's usage ledger: what it grants, and what it stores for the next leader. */
 import t from "tap"
-import {ALLOWANCE_MS, countedMs, type UsageOptions} from "../src/core/usage-limits.js"
+import {
+  ALLOWANCE_LIFETIME_MS,
+  usageLifetimeMs,
+  type UsageOptions
+} from "../src/core/usage-limits.js"
 import {type LedgerEffect, UsageLedger} from "../src/core/usage-ledger.js"
 import type {AllowanceRequest, UsageProjections} from "../src/types/usage-messages.js"
 
 const OPTIONS: UsageOptions = {windowMs: 8_000, overage: 0, slack: 0}
 const LIMIT = 1_000
-const SPAN_MS = countedMs(OPTIONS)
+const SPAN_MS = usageLifetimeMs(OPTIONS)
 
 class Subject {
   readonly effects: LedgerEffect[] = []
@@ -19,15 +23,15 @@
 
   /** Passes the projection of earlier leaders and confirms the ledger's own. */
   open(left: UsageProjections | undefined, now = 0): this {
-    this.ledger.begin()
-    this.ledger.takeStored(left, now)
+    this.ledger.startReading()
+    this.ledger.handleStored(left, now)
     return this.store(now)
   }
 
   /** Confirms the last write. */
   store(now: number): this {
     const save = this.effects.filter(effect => effect.type === "save-usage").at(-1)
-    if (save?.type === "save-usage") this.ledger.noteSaved(save.save, true, now)
+    if (save?.type === "save-usage") this.ledger.handleSaved(save.save, true, now)
     return this
   }
 
@@ -46,7 +50,7 @@
       want: need
     }
     this.effects.length = 0
-    this.ledger.take("b", 1, [{...entry, ...more}], now)
+    this.ledger.handleUsage("b", 1, [{...entry, ...more}], now)
     return this.granted()
   }
 
@@ -67,7 +71,7 @@
     const subject = new Subject()
     t.equal(subject.ask(10, 0), undefined)
     t.match(subject.effects, [{type: "read-usage"}])
-    subject.ledger.takeStored({}, 10)
+    subject.ledger.handleStored({}, 10)
     t.equal(subject.granted(), undefined)
     subject.store(20)
     t.equal(subject.granted(), 10, "the pending request is answered")
@@ -77,8 +81,8 @@
 t.test("an allowance counts until a window after its last use", async t => {
   const subject = new Subject().open({})
   t.equal(subject.ask(100, 0), 100)
-  t.equal(subject.ledger.totalOf("one", ALLOWANCE_MS + SPAN_MS - 1), 100)
-  t.equal(subject.ledger.totalOf("one", ALLOWANCE_MS + SPAN_MS + 500), 0)
+  t.equal(subject.ledger.totalOf("one", ALLOWANCE_LIFETIME_MS + SPAN_MS - 1), 100)
+  t.equal(subject.ledger.totalOf("one", ALLOWANCE_LIFETIME_MS + SPAN_MS + 500), 0)
   const used = new Subject().open({})
   used.ask(100, 0)
   used.ask(0, 1_000, {used: 100})
@@ -105,8 +109,8 @@
 t.test("the result of a write before a restore of the store is ignored", async t => {
   const subject = new Subject().open({})
   subject.ask(100, 0)
-  subject.ledger.forgetStored()
-  subject.ledger.noteSaved(1, true, 50)
+  subject.ledger.invalidateStored()
+  subject.ledger.handleSaved(1, true, 50)
   t.equal(subject.ask(10, 100), undefined)
   subject.store(110)
   t.equal(subject.granted(), 10)
@@ -138,9 +142,9 @@
     0,
     "without the projection, after a restore, all may be used up"
   )
-  t.equal(restored.ask(1, 500 + ALLOWANCE_MS + SPAN_MS - 1), 0)
-  restored.store(500 + ALLOWANCE_MS + SPAN_MS)
-  t.equal(restored.ask(1, 500 + ALLOWANCE_MS + SPAN_MS + 100), 1)
+  t.equal(restored.ask(1, 500 + ALLOWANCE_LIFETIME_MS + SPAN_MS - 1), 0)
+  restored.store(500 + ALLOWANCE_LIFETIME_MS + SPAN_MS)
+  t.equal(restored.ask(1, 500 + ALLOWANCE_LIFETIME_MS + SPAN_MS + 100), 1)
 })
 
 t.test(
@@ -157,6 +161,6 @@
 t.test("nothing is granted beyond what is certain to be stored", async t => {
   const subject = new Subject().open({})
   t.equal(subject.ask(100, 0), 100)
-  subject.ledger.forgetStored()
+  subject.ledger.invalidateStored()
   t.equal(subject.ask(10, 100), undefined, "the store may hold an older projection")
 })
