--- a/src/core/box-requests.ts
+++ b/src/core/box-requests.ts
@@ -81,7 +81,7 @@
     isSnapshotStale(box, now)
   )
     return
-  if (!isKeyStillValid(box, request)) {
+  if (!hasValidKey(box, request)) {
     return failRequest(box, request, request.runs > 0 ? "unknown" : "denied", now)
   }
   if (refuseIfQuarantined(box, request, now)) return
@@ -120,7 +120,7 @@
   logSent(box, request, candidate, now)
 }
 
-function isKeyStillValid(box: BoxServing, {arrival}: BoxRequest): boolean {
+function hasValidKey(box: BoxServing, {arrival}: BoxRequest): boolean {
   return isKeyStillValid(box, arrival.key, arrival.organisation)
 }
 
--- a/src/core/serving.ts
+++ b/src/core/serving.ts
@@ -230,7 +230,7 @@
     case "config-read":
       return recordConfigRead(serving, event.at)
     case "era":
-      return applyEra(state, event.known, event.restored, now)
+      return handleEraChange(state, event.known, event.restored, now)
     case "copied":
       serving.backends = noteCopy(serving.backends, event.until)
       // This box does not know when the store was restored, so it assumes now.
@@ -266,7 +266,7 @@
  * Records the era of the store. After a restore from an older backup the box keeps its
  * own newer state.
  */
-function applyEra(
+function handleEraChange(
   {serving, ledger}: RoutedState,
   known: KnownEra,
   restored: boolean,
