--- a/test/backend-list.test.ts
+++ b/test/backend-list.test.ts
@@ -1,4 +1,4 @@
-/** What a box believes of backend servers whose entries vanish. */
+/** A box's list of backend servers when entries disappear from the store. */
 import t from "tap"
 import {
   type BackendList,
@@ -33,19 +33,22 @@
 
 const ids = ({known}: BackendList): string[] => [...known.keys()].sort()
 
-t.test("an entry that goes while the store is well is gone at once", async t => {
-  const list = takeBackends(
-    createBackendList(),
-    [record("a"), record("b")],
-    byStore(0),
-    0
-  )
-  t.same(ids(takeBackend(list, "a", undefined, byStore(10), 10)), ["b"])
-  t.same(ids(takeBackends(list, [record("a")], byStore(10), 10)), ["a"])
-})
+t.test(
+  "an entry that disappears while the store is available is removed at once",
+  async t => {
+    const list = takeBackends(
+      createBackendList(),
+      [record("a"), record("b")],
+      byStore(0),
+      0
+    )
+    t.same(ids(takeBackend(list, "a", undefined, byStore(10), 10)), ["b"])
+    t.same(ids(takeBackends(list, [record("a")], byStore(10), 10)), ["a"])
+  }
+)
 
 t.test(
-  "an entry that lapsed while the store was away has two seconds to return",
+  "an entry that lapsed in an outage of the store has two seconds to return",
   async t => {
     const full = takeBackends(
       createBackendList(),
@@ -61,23 +64,20 @@
       5_000
     )
     t.same(ids(expireBackends(back, 5_000 + RETURN_MS - 1)), ["a", "b"])
-    t.same(ids(expireBackends(back, 5_000 + RETURN_MS)), ["b"], "then it is gone")
+    t.same(ids(expireBackends(back, 5_000 + RETURN_MS)), ["b"], "then it is removed")
     const returned = takeBackend(back, "a", record("a"), byStore(6_000), 6_000)
-    t.same(ids(expireBackends(returned, 9_000)), ["a", "b"], "or it came back")
+    t.same(ids(expireBackends(returned, 9_000)), ["a", "b"], "unless it returned")
   }
 )
 
-// Seen at changes of leader: one that had not read the store yet told a list that was taken for no list.
-t.test(
-  "a list of unknown age takes away no server that was never known to be gone",
-  async t => {
-    const full = takeBackends(createBackendList(), [record("a")], byStore(0), 0)
-    const told = takeBackends(full, [record("a"), record("b")], byBox(-Infinity), 10)
-    t.same(ids(told), ["a", "b"])
-  }
-)
+// A new leader that has not read the store yet sends an incomplete list of unknown age.
+t.test("a list of unknown age adds servers that were never removed", async t => {
+  const full = takeBackends(createBackendList(), [record("a")], byStore(0), 0)
+  const told = takeBackends(full, [record("a"), record("b")], byBox(-Infinity), 10)
+  t.same(ids(told), ["a", "b"])
+})
 
-t.test("without the store nothing is given up, however long it is away", async t => {
+t.test("no entry is removed during an outage of the store, however long", async t => {
   const full = takeBackends(createBackendList(), [record("a")], byStore(0), 0)
   const away = takeBackend(
     noteStoreTrouble(full, 1_000),
@@ -89,8 +89,9 @@
   t.same(ids(expireBackends(away, 600_000)), ["a"])
 })
 
-// A box that was turned away by the store and went back to its leader's news kept such servers for good.
-t.test("what the leader says is gone is gone, whatever trouble the box had", async t => {
+// A box that the store rejected kept such servers forever after it returned to its
+// leader's lists.
+t.test("removals in the leader's list apply whatever failures the box had", async t => {
   const full = takeBackends(
     createBackendList(),
     [record("a"), record("b")],
@@ -104,7 +105,7 @@
   t.same(ids(takeBackends(doubted, [record("b")], byBox(2_000), 2_000)), ["b"])
 })
 
-t.test("a server that said it leaves is leaving, whoever has older news", async t => {
+t.test("a server that announced leaving stays so despite older lists", async t => {
   const full = takeBackends(createBackendList(), [record("a", true)], byStore(0), 0)
   const older = takeBackends(full, [record("a")], byBox(500), 500)
   t.ok(older.known.get("a")?.record.leaving)
@@ -117,7 +118,7 @@
   )
 })
 
-t.test("a server that said it leaves did not lapse", async t => {
+t.test("the entry of a server that announced leaving did not lapse", async t => {
   const full = takeBackends(createBackendList(), [record("a", true)], byStore(0), 0)
   t.same(
     ids(
@@ -127,23 +128,27 @@
   )
 })
 
-// A leader that was cut off itself kept such servers, and told them as ready to boxes that knew better.
-t.test("what vanished while the store served others did not lapse", async t => {
-  const full = takeBackends(
-    createBackendList(),
-    [record("a"), record("b")],
-    byStore(0),
-    0
-  )
-  const away = noteStoreTrouble(full, 1_000)
-  const doubted = takeBackends(away, [record("b")], byStore(1_500), 1_500)
-  t.same(ids(doubted), ["a", "b"])
-  const served = noteStoreServed(doubted)
-  t.same(ids(served), ["b"])
-  t.same(ids(takeBackends(served, [], byStore(2_000), 2_000)), [], "from now on, too")
-})
+// A leader without a link to the store kept such servers and sent them to boxes as
+// usable.
+t.test(
+  "entries that disappeared while the store served others did not lapse",
+  async t => {
+    const full = takeBackends(
+      createBackendList(),
+      [record("a"), record("b")],
+      byStore(0),
+      0
+    )
+    const away = noteStoreTrouble(full, 1_000)
+    const doubted = takeBackends(away, [record("b")], byStore(1_500), 1_500)
+    t.same(ids(doubted), ["a", "b"])
+    const served = noteStoreServed(doubted)
+    t.same(ids(served), ["b"])
+    t.same(ids(takeBackends(served, [], byStore(2_000), 2_000)), [], "also from now on")
+  }
+)
 
-t.test("an older list brings back no server that was gone, a newer one does", async t => {
+t.test("only a newer list brings back a removed server", async t => {
   const full = takeBackends(
     createBackendList(),
     [record("a"), record("b")],
@@ -154,5 +159,5 @@
   const older = takeBackends(read, [record("a"), record("b")], byBox(900), 1_100)
   t.same(ids(older), ["b"])
   const newer = takeBackends(older, [record("a"), record("b")], byBox(1_200), 1_300)
-  t.same(ids(newer), ["a", "b"], "it had lapsed")
+  t.same(ids(newer), ["a", "b"], "its entry had lapsed")
 })
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -1,4 +1,4 @@
-/** The leader's decisions on the places of engines, given its events directly. */
+/** Placement of adapters in engine slots by the leader, driven by its events directly. */
 import t from "tap"
 import {drainFleet, planFleet} from "../src/core/placement.js"
 import {takeOrderResult} from "../src/core/placement-orders.js"
@@ -33,7 +33,7 @@
   }
 }
 
-/** A leader under test whose engines hold their base model and nothing else. */
+/** A leader under test whose engines hold only their base model. */
 class Subject {
   now = 1_000
   readonly fleet = createFleet(this.now)
@@ -67,7 +67,7 @@
     takeReport(this.fleet, engine, report, this.now)
   }
 
-  /** A report of versions that the engine holds, and of those on their way. */
+  /** Reports the versions that an engine holds and those that it is loading. */
   reportHeld(
     engine: string,
     held: readonly (readonly [adapter: string, version: number])[],
@@ -100,7 +100,7 @@
     return this.plan()
   }
 
-  /** The orders of the last plan, in short. */
+  /** The orders of the last plan, abbreviated. */
   orders(): string[] {
     return this.effects.flatMap(effect =>
       effect.type === "order"
@@ -111,7 +111,7 @@
     )
   }
 
-  /** The news of the last plan: whom it went to, and of which engine. */
+  /** The updates of the last plan: recipients, engine and adapters. */
   news(): string[] {
     return this.effects.flatMap(effect => {
       if (effect.type === "loads") return [`all loads ${effect.loads.hundreds.join()}`]
@@ -130,7 +130,7 @@
     return this.plan()
   }
 
-  /** Lets time go by; engines that are asked tell what they were ordered to hold. */
+  /** Advances time. Engines answer report requests as if all orders were executed. */
   pass(ms: number): this {
     this.now += ms
     this.plan()
@@ -144,13 +144,13 @@
   }
 }
 
-t.test("many requests for one adapter make one load", async t => {
+t.test("several requests for one adapter cause one load", async t => {
   const subject = new Subject(2).need("x")
   t.equal(subject.orders().length, 1)
   t.same(subject.answer("e0", "accepted").need("x").orders(), [])
 })
 
-t.test("an engine whose places are taken makes room first", async t => {
+t.test("an engine without a free slot evicts an adapter before a load", async t => {
   const subject = new Subject(1).need("x").answer("e0", "accepted")
   dropNeed(subject.fleet, "box", "r1")
   subject.need("y").answer("e0", "accepted")
@@ -160,7 +160,7 @@
   t.same(subject.answer("e0", "done").orders(), ["e0 load z"])
 })
 
-t.test("an unload that waits for its runs frees no place yet", async t => {
+t.test("an unload that waits for running requests frees no slot yet", async t => {
   const subject = new Subject(1).need("x").answer("e0", "accepted")
   dropNeed(subject.fleet, "box", "r1")
   subject.need("y").answer("e0", "accepted")
@@ -168,14 +168,14 @@
   subject.pass(1_000)
   t.same(subject.need("z").orders(), ["e0 unload x"])
   t.notOk(subject.answer("e0", "accepted").orders().includes("e0 load z"))
-  t.notOk(subject.pass(300).orders().includes("e0 load z"), "the report still has it")
+  t.notOk(subject.pass(300).orders().includes("e0 load z"), "the report still lists it")
   subject.now += 500
   subject.plan()
   subject.report("e0", ["y"], 3)
   t.same(subject.plan().orders(), ["e0 load z"])
 })
 
-t.test("an adapter in use or waited for is not unloaded", async t => {
+t.test("an adapter that is in use or requested is not unloaded", async t => {
   const subject = new Subject(1).need("x").answer("e0", "accepted")
   subject.need("y").answer("e0", "accepted")
   subject.pass(1_000)
@@ -185,43 +185,53 @@
   t.same(subject.need("z").orders(), [])
 })
 
-/** Places of an engine that are taken, in short. */
+/** The occupied slots of an engine, abbreviated. */
 function placesOf(subject: Subject, engine: string): string[] {
   const places = subject.fleet.engines.get(engine)?.places ?? new Map()
   return [...places].map(([adapter, {phase}]) => `${adapter} ${phase}`)
 }
 
-t.test("a refused order shows that the one without an answer was done", async t => {
-  const subject = new Subject(1).need("x").answer("e0", "unknown")
-  t.same(subject.orders(), ["e0 load x"], "with the same count")
-  subject.answer("e0", "conflict")
-  t.same(placesOf(subject, "e0"), ["base/x loading"])
-  const [order] = subject.need("y").effects.filter(({type}) => type === "order")
-  t.match(order, {order: {adapter: "y"}, expectedSequence: 1}, "at once, and counted")
-  subject.answer("e0", "accepted").need("z")
-  t.same(subject.orders(), [], "both places are taken")
-})
+t.test(
+  "a conflict shows that the previous order without an answer was executed",
+  async t => {
+    const subject = new Subject(1).need("x").answer("e0", "unknown")
+    t.same(subject.orders(), ["e0 load x"], "with the same sequence number")
+    subject.answer("e0", "conflict")
+    t.same(placesOf(subject, "e0"), ["base/x loading"])
+    const [order] = subject.need("y").effects.filter(({type}) => type === "order")
+    t.match(
+      order,
+      {order: {adapter: "y"}, expectedSequence: 1},
+      "at once, with the next sequence number"
+    )
+    subject.answer("e0", "accepted").need("z")
+    t.same(subject.orders(), [], "both slots are occupied")
+  }
+)
 
-t.test("an unload in doubt keeps its place until the engine is asked", async t => {
-  const subject = new Subject(1).need("x").answer("e0", "accepted")
-  dropNeed(subject.fleet, "box", "r1")
-  subject.need("y").answer("e0", "accepted")
-  dropNeed(subject.fleet, "box", "r2")
-  subject.pass(1_000)
-  t.same(subject.need("z").orders(), ["e0 unload x"])
-  t.same(subject.answer("e0", "unknown").orders(), ["e0 unload x"])
-  subject.answer("e0", "conflict")
-  t.same(placesOf(subject, "e0")[0], "base/x unloading")
-  t.notOk(subject.orders().includes("e0 load z"))
-})
+t.test(
+  "an unload with unknown outcome keeps its slot until the engine reports",
+  async t => {
+    const subject = new Subject(1).need("x").answer("e0", "accepted")
+    dropNeed(subject.fleet, "box", "r1")
+    subject.need("y").answer("e0", "accepted")
+    dropNeed(subject.fleet, "box", "r2")
+    subject.pass(1_000)
+    t.same(subject.need("z").orders(), ["e0 unload x"])
+    t.same(subject.answer("e0", "unknown").orders(), ["e0 unload x"])
+    subject.answer("e0", "conflict")
+    t.same(placesOf(subject, "e0")[0], "base/x unloading")
+    t.notOk(subject.orders().includes("e0 load z"))
+  }
+)
 
-t.test("of several orders without an answer nothing is concluded", async t => {
+t.test("a conflict after several orders without an answer proves nothing", async t => {
   const subject = new Subject(1).need("x").answer("e0", "unknown").answer("e0", "unknown")
   t.same(subject.answer("e0", "conflict").orders(), [])
-  t.equal(subject.fleet.engines.get("e0")?.sequence, undefined, "it is asked")
+  t.equal(subject.fleet.engines.get("e0")?.sequence, undefined, "a report is requested")
 })
 
-t.test("after a lost answer the next order carries the same count", async t => {
+t.test("after a lost answer the next order carries the same sequence number", async t => {
   const subject = new Subject(1).need("x")
   const [first] = subject.effects.filter(effect => effect.type === "order")
   subject.answer("e0", "unknown")
@@ -230,21 +240,24 @@
     expectedSequence: (first as {expectedSequence: number}).expectedSequence
   })
   subject.answer("e0", "conflict")
-  t.same(subject.orders(), [], "it is on its way, and not ordered again")
+  t.same(subject.orders(), [], "it is loading, and not ordered again")
 })
 
-t.test("an engine that failed a request is no place for it", async t => {
-  const subject = new Subject(2).need("x").answer("e0", "accepted").pass(1_000)
-  t.same(subject.need("x", {failedAt: ["e0"]}).orders(), [])
-  dropNeed(subject.fleet, "box", "r1")
-  t.same(subject.plan().orders(), ["e1 load x"])
-})
+t.test(
+  "an adapter is loaded elsewhere if the engine that holds it failed the request",
+  async t => {
+    const subject = new Subject(2).need("x").answer("e0", "accepted").pass(1_000)
+    t.same(subject.need("x", {failedAt: ["e0"]}).orders(), [])
+    dropNeed(subject.fleet, "box", "r1")
+    t.same(subject.plan().orders(), ["e1 load x"])
+  }
+)
 
 t.test(
-  "an engine that holds nothing gets its base model, within the rate of loads",
+  "an engine without weights loads its base model within the rate limit of loads",
   async t => {
     const subject = new Subject(3, false)
-    t.same(subject.orders(), [], "a new leader begins with an empty allowance")
+    t.same(subject.orders(), [], "a new leader starts with an empty token bucket")
     const ordersAfter = (ms: number): number => {
       subject.now += ms
       return subject.plan().orders().length
@@ -255,14 +268,14 @@
   }
 )
 
-t.test("a newer version replaces what is in use, and drops what is not", async t => {
+t.test("a newer version replaces a requested older one", async t => {
   const subject = new Subject(1).need("x").answer("e0", "accepted").pass(600)
   takeFleetVersion(subject.fleet, "base/x", 2)
   t.same(subject.plan().orders(), ["e0 load x"])
 })
 
 t.test(
-  "a newer version is not loaded beside the old one where no place is free",
+  "a newer version is not loaded next to the old one without a free slot",
   async t => {
     const subject = new Subject(1).need("x").answer("e0", "accepted")
     subject.need("y").answer("e0", "accepted").pass(600)
@@ -272,8 +285,8 @@
   }
 )
 
-// A hot adapter never stood idle, so that its newer version came to no engine whose places were all in use.
-t.test("room is made for the newer version of what is in use", async t => {
+// A popular adapter is never idle, so that full engines never received its newer version.
+t.test("a slot is freed for the newer version of an adapter in use", async t => {
   const subject = new Subject(1).need("x").answer("e0", "accepted")
   subject.need("y").answer("e0", "accepted").pass(600)
   const use = {engine: "e0", adapter: "base/x", begun: 1, ended: 0, tokens: 100}
@@ -286,13 +299,13 @@
   t.same(subject.answer("e0", "done").orders(), ["e0 load x"])
 })
 
-/** A leader of one engine with room for so many adapters, which holds these, the first ones in use. */
+/** A leader of one engine that holds `names`, of which the first `inUse` are in use. */
 function holding(names: readonly string[], inUse: number, limits: object): Subject {
   const subject = new Subject(1)
   const engine = {...(SERVICE.engine as EngineLimits), ...limits}
   subject.fleet.services = new Map([["engines", {...SERVICE, engine}]])
   const held = names.map(name => [name, 1] as const)
-  // It is asked again soon after what it held was new.
+  // The next report is requested soon, since the first one had new adapters.
   for (let report = 0; report < 2; report++) {
     subject.now += 500
     subject.plan()
@@ -305,37 +318,43 @@
   return subject
 }
 
-// Found by a review: until an unload that was accepted was reported, each plan unloaded one more.
-t.test("room for a newer version is made once", async t => {
+// Every plan unloaded one more adapter until a report confirmed the accepted unload.
+t.test("one slot is freed for a newer version, not more", async t => {
   const subject = holding(["x", "y", "z"], 1, {maxAdapters: 3})
   takeFleetVersion(subject.fleet, "base/x", 2)
   t.same(subject.plan().orders(), ["e0 unload y"])
-  t.same(subject.answer("e0", "accepted").orders(), [], "its place is about to be free")
+  t.same(subject.answer("e0", "accepted").orders(), [], "a slot is about to be free")
 })
 
-// Found by a review: engines take four at once, whichever way the leader came to order them.
-t.test("newer versions on their way to an engine are no more than it takes", async t => {
-  const names = ["a", "b", "c", "d", "e"]
-  const subject = holding(names, 5, {maxAdapters: 12, weightsMb: 200})
-  for (const name of names) takeFleetVersion(subject.fleet, `base/${name}`, 2)
-  const ordered: string[] = []
-  for (subject.plan(); subject.orders().length > 0; subject.answer("e0", "accepted")) {
-    ordered.push(...subject.orders())
+// Engines load at most four adapters at once. Replacements of versions exceeded that.
+t.test(
+  "loads of newer versions stay within the loads that an engine accepts at once",
+  async t => {
+    const names = ["a", "b", "c", "d", "e"]
+    const subject = holding(names, 5, {maxAdapters: 12, weightsMb: 200})
+    for (const name of names) takeFleetVersion(subject.fleet, `base/${name}`, 2)
+    const ordered: string[] = []
+    for (subject.plan(); subject.orders().length > 0; subject.answer("e0", "accepted")) {
+      ordered.push(...subject.orders())
+    }
+    t.equal(ordered.length, 4, ordered.join(", "))
   }
-  t.equal(ordered.length, 4, ordered.join(", "))
-})
+)
 
-// Found by a review: only places were counted, so that an engine short of memory was ordered past it.
-t.test("a newer version stands beside the old one only within the memory", async t => {
-  const models = [{name: "base", weightsMb: 100, adapterMb: 5}]
-  const subject = holding(["x", "y"], 1, {maxAdapters: 4, weightsMb: 110, models})
-  takeFleetVersion(subject.fleet, "base/x", 2)
-  t.same(subject.plan().orders(), ["e0 unload y"])
-})
+// Only slots were counted, so that orders exceeded the memory of an engine.
+t.test(
+  "a newer version is loaded next to the old one only within the memory",
+  async t => {
+    const models = [{name: "base", weightsMb: 100, adapterMb: 5}]
+    const subject = holding(["x", "y"], 1, {maxAdapters: 4, weightsMb: 110, models})
+    takeFleetVersion(subject.fleet, "base/x", 2)
+    t.same(subject.plan().orders(), ["e0 unload y"])
+  }
+)
 
-// Finding LIMIT, Tatrapay scale-1: both versions stand there until the newer one has come.
+// Both versions occupy a slot until the newer is loaded. (Finding LIMIT, Tatrapay scale-1.)
 t.test(
-  "a version that replaces another takes a second place until it is there",
+  "a version that replaces another occupies a second slot until it is loaded",
   async t => {
     const subject = new Subject(1).need("x").answer("e0", "accepted")
     dropNeed(subject.fleet, "box", "r1")
@@ -349,9 +368,9 @@
   }
 )
 
-// The other cause of that finding: the order's answer was lost, and the place was taken for free.
+// The other cause of that finding: after a lost answer the slot was regarded as free.
 t.test(
-  "a replacement that is not known to be under way leaves the old version",
+  "a replacement with unknown outcome keeps the slot of the old version",
   async t => {
     const subject = new Subject(1).need("x").answer("e0", "accepted")
     dropNeed(subject.fleet, "box", "r1")
@@ -360,49 +379,53 @@
     t.same(subject.need("x").orders(), ["e0 load x"])
     subject.answer("e0", "unknown")
     subject.answer("e0", "accepted")
-    t.same(subject.need("y").orders(), [], "both versions of x may stand there")
+    t.same(subject.need("y").orders(), [], "both versions of x may be loaded")
   }
 )
 
-t.test("a new leader counts a replacement that is on its way twice", async t => {
+t.test("a new leader counts two slots for a replacement in progress", async t => {
   const subject = new Subject(1)
   subject.reportHeld("e0", [["x", 1]], 0, [["x", 2]])
   t.same(subject.need("y").orders(), [])
 })
 
-t.test("what an engine says it does not hold is placed anew", async t => {
+t.test("an adapter that an engine reports missing is loaded elsewhere", async t => {
   const subject = new Subject(2).need("x").answer("e0", "accepted").pass(1_000)
   takeMissing(subject.fleet, "e0", "base/x", subject.now)
   t.same(subject.need("x").orders(), ["e1 load x"])
 })
 
-t.test("a few boxes are told every place, and loads from time to time", async t => {
+t.test("few boxes receive every slot update at once, and loads at intervals", async t => {
   const subject = new Subject(1).need("x")
   t.same(subject.news(), ["all e0 +base/x"])
   const use = {engine: "e0", adapter: "base/x", begun: 1, ended: 0, tokens: 100}
   takeUses(subject.fleet, "box", [use], subject.now)
-  t.same(subject.plan().news(), [], "a load alone waits")
+  t.same(subject.plan().news(), [], "a change of load alone waits")
   subject.now += 150
   t.same(subject.plan().news(), ["all loads 1"])
 })
 
-t.test("a box that waits is told at once, all others of changes gathered", async t => {
+t.test("a waiting box receives updates at once, all others in batches", async t => {
   const subject = new Subject(2)
   subject.now += 1_000
   subject.fleet.boxes = 50
   subject.plan()
-  t.same(subject.need("x").news(), ["box e0 +base/x"], "where it is going to be")
+  t.same(subject.need("x").news(), ["box e0 +base/x"], "the engine that loads it")
   subject.now += 100
   t.same(subject.answer("e0", "accepted").news(), ["box e0 +base/x"], "not due yet")
   subject.now += 60
   t.same(subject.plan().news(), ["all e0 +base/x"])
   dropNeed(subject.fleet, "box", "r1")
   subject.now += 500
-  t.same(subject.plan().news(), [], "nothing is told twice")
-  t.same(subject.need("x").news(), ["box e0 +base/x"], "who asks is told where it is")
+  t.same(subject.plan().news(), [], "nothing is sent twice")
+  t.same(
+    subject.need("x").news(),
+    ["box e0 +base/x"],
+    "a box that requests it receives its slot"
+  )
 })
 
-t.test("boxes are told of what an engine holds no longer", async t => {
+t.test("boxes receive removals of adapters from engines", async t => {
   const subject = new Subject(1).need("x").answer("e0", "accepted")
   dropNeed(subject.fleet, "box", "r1")
   subject.pass(3_000)
@@ -410,18 +433,22 @@
   t.same(subject.plan().news(), ["all e0 -base/x"])
 })
 
-t.test("a hot adapter is copied while a few other loads are on their way", async t => {
-  const subject = new Subject(8).need("x").answer("e0", "accepted")
-  dropNeed(subject.fleet, "box", "r1")
-  subject.pass(600)
-  const use = {engine: "e0", adapter: "base/x", begun: 1, ended: 0, tokens: 4_000}
-  takeUses(subject.fleet, "box", [use, use, use, use, use, use, use], subject.now)
-  // The copy goes first: it serves many, and a place made free for it is not taken by the other.
-  t.same(subject.need("y").orders().sort(), ["e1 load x", "e2 load y"])
-})
+t.test(
+  "a popular adapter is replicated while few other loads are in progress",
+  async t => {
+    const subject = new Subject(8).need("x").answer("e0", "accepted")
+    dropNeed(subject.fleet, "box", "r1")
+    subject.pass(600)
+    const use = {engine: "e0", adapter: "base/x", begun: 1, ended: 0, tokens: 4_000}
+    takeUses(subject.fleet, "box", [use, use, use, use, use, use, use], subject.now)
+    // The replica comes first: it serves many requests, and the other load must not take
+    // the slot that is freed for it.
+    t.same(subject.need("y").orders().sort(), ["e1 load x", "e2 load y"])
+  }
+)
 
 t.test(
-  "loads of one moment go to different engines, before any work is told",
+  "simultaneous loads go to different engines before any use is reported",
   async t => {
     const subject = new Subject(2)
     const {fleet} = subject
@@ -432,7 +459,7 @@
   }
 )
 
-t.test("how fast engines read is learned where work always waited", async t => {
+t.test("the prefill rate is learned on engines that are never idle", async t => {
   const {fleet} = new Subject(1)
   const tell = (tokens: number, now: number): void => {
     const use = {engine: "e0", adapter: "base/x", begun: 0, ended: 0, tokens}
@@ -441,30 +468,37 @@
   const before = tokensIn(fleet, 1)
   tell(100, 0)
   for (let now = 2_000; now <= 10_000; now += 500) tell(-50, now)
-  t.equal(tokensIn(fleet, 1), before, "it was idle")
+  t.equal(tokensIn(fleet, 1), before, "the engine was idle")
   tell(1_000_000, 10_000)
   for (let now = 10_500; now <= 40_000; now += 500) tell(-5_000, now)
   t.ok(Math.abs(tokensIn(fleet, 1) - 10) < 0.5, `${tokensIn(fleet, 1)} tokens a ms`)
 })
 
-t.test("weights that have just come are not taken from those who waited", async t => {
-  const subject = new Subject(1)
-  subject.fleet.boxes = 100
-  for (const name of ["x", "y"]) {
-    subject.need(name).answer("e0", "accepted")
+t.test(
+  "weights just loaded are not evicted before waiting requests are reported",
+  async t => {
+    const subject = new Subject(1)
+    subject.fleet.boxes = 100
+    for (const name of ["x", "y"]) {
+      subject.need(name).answer("e0", "accepted")
+    }
+    subject.now += 400
+    subject.reportHeld(
+      "e0",
+      [
+        ["x", 1],
+        ["y", 1]
+      ],
+      2
+    )
+    dropNeed(subject.fleet, "box", "r1")
+    dropNeed(subject.fleet, "box", "r2")
+    t.same(
+      subject.need("z").orders(),
+      [],
+      "use by the waiting requests is not reported yet"
+    )
+    subject.now += 400
+    t.same(subject.plan().orders(), ["e0 unload x"])
   }
-  subject.now += 400
-  subject.reportHeld(
-    "e0",
-    [
-      ["x", 1],
-      ["y", 1]
-    ],
-    2
-  )
-  dropNeed(subject.fleet, "box", "r1")
-  dropNeed(subject.fleet, "box", "r2")
-  t.same(subject.need("z").orders(), [], "who waited is about to be told of")
-  subject.now += 400
-  t.same(subject.plan().orders(), ["e0 unload x"])
-})
+)
