--- a/test/news-age.test.ts
+++ b/test/news-age.test.ts
@@ -1,4 +1,6 @@
-/** How old a box's news may become, and whom it asks where it cannot read the store. */
+/**
+ * Age of a box's store snapshot, and requests to other boxes if it can't read the store.
+ */
 import t from "tap"
 import {NewsHelp} from "../src/adapters/news-help.js"
 import {
@@ -16,10 +18,12 @@
 import {readToLeader} from "../src/types/box-frames.js"
 import type {AskNews, StoreNews} from "../src/types/box-messages.js"
 
-/** Within this a box must know that a server leaves, milliseconds. */
+/** Time within which a box must know that a server leaves. */
 const BOUND_MS = 2_000
 
-/** A list over a new connection between data centres, with the work of both ends, milliseconds. */
+/**
+ * A store read over a new connection between data centres, with processing at both ends.
+ */
 const ROUND_TRIP_MS = 50
 
 const ASK: AskNews = {t: "ask-news", configVersion: -1, ageMs: Infinity}
@@ -27,12 +31,12 @@
 const NEWS: StoreNews = {t: "news", ageMs: 0, records: [], versions: []}
 
 t.test(
-  "the waits from the store's word to the last send add up to less than the bound",
+  "the delays from a write in the store to the last send stay within the bound",
   async t => {
     const ofLeader = LIST_MS + LATE_MS + IDLE_TICK_MS + ROUND_TRIP_MS
     t.ok(
       ofLeader <= OLDEST_MS,
-      "a leader that reads in time is heard before boxes read themselves"
+      "updates of a leader that reads in time arrive before boxes read the store"
     )
     const ofBox = OLDEST_MS + IDLE_TICK_MS + LATE_MS + ROUND_TRIP_MS
     const throughOther = ofBox + IDLE_TICK_MS + LATE_MS + ROUND_TRIP_MS
@@ -40,7 +44,7 @@
   }
 )
 
-t.test("news is as old as the newest reading it rests on, whoever read", async t => {
+t.test("a snapshot is as old as the newest store read, whichever box read", async t => {
   const own = noteReading(createNewsAge(), 1_000)
   t.equal(newsAgeMs(createNewsAge(), 5_000), Infinity)
   t.equal(newsAgeMs(own, 5_000), 4_000)
@@ -49,43 +53,43 @@
   t.equal(
     newsAgeMs(noteLeaderReading(both, 2_000), 5_000),
     500,
-    "an older one is nothing new"
+    "an older read changes nothing"
   )
   t.ok(hearsOfLeader(both, 4_500 + OLDEST_MS - 1))
   t.notOk(hearsOfLeader(both, 4_500 + OLDEST_MS))
-  t.notOk(hearsOfLeader(own, 1_000), "its own reading says nothing of the leader")
+  t.notOk(hearsOfLeader(own, 1_000), "its own read does not count for the leader")
 })
 
-// A leader that was turned away got its own news back from boxes that had it of this leader.
-t.test("a box passes on only what is newer than the asker's own", async t => {
-  t.notOk(isNewer(1_000, 1_010), "the leader's own, on its way back")
+// A leader that the store rejected received its own snapshot back from its boxes.
+t.test("a box passes on only a snapshot newer than the requester's", async t => {
+  t.notOk(isNewer(1_000, 1_010), "the leader's own snapshot")
   t.ok(isNewer(300, 1_010))
-  t.ok(isNewer(5_000, Infinity), "it had none")
+  t.ok(isNewer(5_000, Infinity), "the requester has none")
 })
 
-t.test("a box that knows nothing may ask, too", async t => {
+t.test("a box without a snapshot may request one", async t => {
   t.same(readToLeader(ASK), ASK)
 })
 
-t.test("a box asks a few others, and takes the first that can read", async t => {
+t.test("a box asks a few others and takes the first snapshot", async t => {
   const asked: string[] = []
   const help = new NewsHelp("self:1", address => {
     asked.push(address)
     return Promise.resolve(address === "c:1" ? NEWS : undefined)
   })
-  t.equal(await help.ask(ASK), undefined, "it knows nobody")
+  t.equal(await help.ask(ASK), undefined, "no address is known")
   help.learn(["self:1", "a:1", "b:1", "c:1"])
   t.same(await help.ask(ASK), NEWS)
-  t.same([...asked].sort(), ["a:1", "b:1", "c:1"], "not itself")
+  t.same([...asked].sort(), ["a:1", "b:1", "c:1"], "not its own address")
 })
 
-t.test("where nobody can read there is no news, and no error", async t => {
+t.test("without an answer there is no snapshot and no error", async t => {
   const help = new NewsHelp("self:1", () => Promise.resolve(undefined))
   help.learn(["a:1", "b:1"])
   t.equal(await help.ask(ASK), undefined)
 })
 
-t.test("of many boxes it remembers those that it heard of last", async t => {
+t.test("of many boxes the latest addresses are remembered", async t => {
   const asked = new Set<string>()
   const help = new NewsHelp("self:1", address => {
     asked.add(address)
--- a/test/server-notices.test.ts
+++ b/test/server-notices.test.ts
@@ -1,9 +1,10 @@
 /**
- * A backend server's own word in its answers binds the box that got them: no request goes to one that leaves, and
- * none to one that asked for rest until that is over.
+ * Notices in responses of backend servers apply to the box that received them: it sends
+ * no request to a server that leaves, nor to one in a back-off.
  *
- * Seen: servers were sent requests for 5 s after their answers had said that they leave, as the store that alone
- * was asked was away; and four in the three seconds of rest that one had asked for.
+ * Guards against two failures. Requests were sent for 5 s to servers whose responses said
+ * that they leave, since only the store was consulted and it was unavailable. A server
+ * that requested a back-off of three seconds was sent four requests in that time.
  */
 import {setTimeout as sleep} from "node:timers/promises"
 import t from "tap"
@@ -17,13 +18,13 @@
 import {type BedBox, type Outcome, PlatformBed} from "./support/platform-bed.js"
 import {until} from "./support/wait.js"
 
-/** Between two requests of a caller, milliseconds. */
+/** Pause between two requests of a caller. */
 const PAUSE_MS = 40
 
-/** What is refused at once takes no longer, milliseconds. */
+/** Longest time of an immediate refusal. */
 const AT_ONCE_MS = 200
 
-/** A bed whose calls are recorded for the judge. */
+/** A test bed whose calls are recorded for the judge. */
 class Subject {
   readonly calls = new Map<string, NoticedCall>()
   readonly reborn: {worker: string; at: number}[] = []
@@ -59,52 +60,59 @@
 if (!passOverIfRed("server-notices")) playAll()
 
 function playAll(): void {
-  t.test("a server that says in its answers that it leaves gets nothing new", async t => {
-    const bed = await PlatformBed.start({boxes: 2, engines: 2, plain: 2})
-    t.teardown(() => bed.stop())
-    const subject = new Subject(bed)
-    await subject.callFor(500)
-    await subject.callFor(500, "/stream/x", "a1")
-    subject.worker.drainUnheard()
-    bed.engines[0]?.drainUnheard()
-    await Promise.all([
-      subject.callFor(4_000),
-      subject.callFor(4_000, "/stream/x", "a1"),
-      subject.callFor(4_000, "/stream/x", "a2")
-    ])
-    t.ok(bed.judge.leaves.length > 0, "it said so")
-    t.same(subject.violations(), [])
-  })
+  t.test(
+    "a server that announces leaving in its responses gets no new request",
+    async t => {
+      const bed = await PlatformBed.start({boxes: 2, engines: 2, plain: 2})
+      t.teardown(() => bed.stop())
+      const subject = new Subject(bed)
+      await subject.callFor(500)
+      await subject.callFor(500, "/stream/x", "a1")
+      subject.worker.drainUnheard()
+      bed.engines[0]?.drainUnheard()
+      await Promise.all([
+        subject.callFor(4_000),
+        subject.callFor(4_000, "/stream/x", "a1"),
+        subject.callFor(4_000, "/stream/x", "a2")
+      ])
+      t.ok(bed.judge.leaves.length > 0, "it announced leaving")
+      t.same(subject.violations(), [])
+    }
+  )
 
-  t.test("its next life under the same name is served by", async t => {
+  t.test("its next incarnation under the same name is used", async t => {
     const bed = await PlatformBed.start({boxes: 1, engines: 1, plain: 1})
     t.teardown(() => bed.stop())
     const subject = new Subject(bed)
     subject.worker.drainUnheard()
     await subject.callFor(500)
-    t.equal((await subject.call()).status, 503, "there is no other")
+    t.equal((await subject.call()).status, 503, "there is no other server")
     await subject.worker.restart()
     subject.worker.resume()
-    await until("it is served", async () => (await subject.call()).status === 200, 3_000)
+    await until(
+      "a request is served",
+      async () => (await subject.call()).status === 200,
+      3_000
+    )
   })
 
-  t.test("a server that asked for rest gets none", async t => {
+  t.test("a server that requested a back-off gets no request", async t => {
     const bed = await PlatformBed.start({boxes: 2, engines: 1, plain: 2})
     t.teardown(() => bed.stop())
     const subject = new Subject(bed)
     subject.worker.faults = {shedding: true, retryAfter: "2"}
     const outcomes = await subject.callFor(5_000)
-    t.ok(bed.judge.rests.length > 0, "it asked")
+    t.ok(bed.judge.rests.length > 0, "it requested a back-off")
     t.same(subject.violations(), [])
     t.same(
       outcomes.filter(({status}) => status !== 200),
       [],
-      "the other one serves"
+      "the other server serves"
     )
   })
 
   t.test(
-    "engines that all rest have callers refused at once, and told until when",
+    "requests are refused at once with a retry time if all engines are in back-off",
     async t => {
       const bed = await PlatformBed.start({boxes: 1, engines: 2, plain: 1})
       t.teardown(() => bed.stop())
@@ -127,7 +135,7 @@
     }
   )
 
-  t.test("what is no time asks for no rest", async t => {
+  t.test("an invalid time requests no back-off", async t => {
     const bed = await PlatformBed.start({boxes: 1, engines: 1, plain: 1})
     t.teardown(() => bed.stop())
     const subject = new Subject(bed)
@@ -145,6 +153,6 @@
       await sleep(100)
       t.equal((await subject.call()).status, 200, `after "${retryAfter}"`)
     }
-    t.match(bed.logs(), /"event":230/, "the log tells it")
+    t.match(bed.logs(), /"event":230/, "the log has the event")
   })
 }
