--- a/src/core/backend-list.ts
+++ b/src/core/backend-list.ts
@@ -225,7 +225,7 @@
 
 /** The backend servers of a list by server name. */
 export function indexServers({known}: BackendList): Map<string, KnownBackend> {
-  return new Map([...known.values()].map(each => [each.record.server, each]))
+  return new Map([...known.values()].map(backend => [backend.record.server, backend]))
 }
 
 /**
@@ -240,10 +240,10 @@
   now: number
 ): BackendList {
   if (typeof record === "object") return applyRecord(list, record, storeRead, now)
-  const withheld = new Map([...list.withheld].filter(([, each]) => !isOf(each, id)))
+  const withheld = new Map([...list.withheld].filter(([, held]) => !isOf(held, id)))
   const known = new Map(list.known)
   const removals = new Map(list.gone)
-  const matching = [...list.known.values()].filter(each => isOf(each.record, id))
+  const matching = [...list.known.values()].filter(backend => isOf(backend.record, id))
   const mayHaveLapsed = record === undefined && storeRead.source === "store"
   for (const backend of matching) {
     const incarnation = backend.record.id
@@ -264,7 +264,9 @@
 ): BackendList {
   const {server} = record
   if (list.endedIncarnations.has(record.id)) return list
-  const isKnown = [...list.known.values()].some(each => each.record.server === server)
+  const isKnown = [...list.known.values()].some(
+    backend => backend.record.server === server
+  )
   if (isWithheld(list, record, isKnown, storeRead, now)) {
     return {...list, withheld: new Map(list.withheld).set(record.id, record)}
   }
@@ -288,7 +290,7 @@
   // An entry written later in the same era is not from the backup. Drop older ones.
   const withheld = new Map(
     [...list.withheld].filter(
-      ([, each]) => each.server !== record.server || isLater(each, record)
+      ([, held]) => held.server !== record.server || isLater(held, record)
     )
   )
   return {
@@ -328,7 +330,7 @@
   {leavingIds}: BackendList,
   records: readonly BackendRecord[]
 ): ReadonlySet<string> {
-  const leaving = records.filter(each => each.leaving && !leavingIds.has(each.id))
+  const leaving = records.filter(record => record.leaving && !leavingIds.has(record.id))
   if (leaving.length === 0) return leavingIds
   const all = [...leavingIds, ...leaving.map(({id}) => id)]
   return new Set(all.slice(-MAX_REMEMBERED_SERVERS))
--- a/src/core/placement-uses.ts
+++ b/src/core/placement-uses.ts
@@ -32,12 +32,12 @@
     fleet.engines.delete(id)
     removedByServer.set(engine.server, engine)
   }
-  for (const each of listed) {
-    const engine = fleet.engines.get(each.id)
-    if (engine) engine.leaving = each.leaving
-    else if (services.get(each.service)?.engine) {
-      const unconfirmedLoads = keepStrays(removedByServer.get(each.server), now)
-      fleet.engines.set(each.id, createEngine(each, unconfirmedLoads))
+  for (const entry of listed) {
+    const engine = fleet.engines.get(entry.id)
+    if (engine) engine.leaving = entry.leaving
+    else if (services.get(entry.service)?.engine) {
+      const unconfirmedLoads = keepStrays(removedByServer.get(entry.server), now)
+      fleet.engines.set(entry.id, createEngine(entry, unconfirmedLoads))
     }
   }
 }
