--- a/test/server-lives.test.ts
+++ b/test/server-incarnations.test.ts
@@ -1,32 +1,32 @@
 /** What is believed of a backend server that started again under its name, in the core alone. */
 import t from "tap"
-import {listEndedLives} from "../src/core/backend-changes.js"
+import {listEndedIncarnations} from "../src/core/backend-changes.js"
 import {
   type BackendList,
   createBackendList,
   expireBackends,
   isUsable,
-  noteRise,
-  noteStoreTrouble,
-  type Reading,
-  takeBackend,
-  takeBackends
+  recordRestore,
+  recordStoreFailure,
+  type StoreRead,
+  applyBackendUpdate,
+  applyBackendList
 } from "../src/core/backend-list.js"
 import {LAST_BYTES_MS} from "../src/core/box-incarnations.js"
 import {createBoxServing} from "../src/core/box-state.js"
 import {drainFleet, planFleet} from "../src/core/placement.js"
-import {takeOrderResult} from "../src/core/placement-orders.js"
-import {takeLifeOver, takeReport} from "../src/core/placement-reports.js"
+import {handleOrderResult} from "../src/core/placement-orders.js"
+import {handleIncarnationEnd, applyEngineReport} from "../src/core/placement-reports.js"
 import {createFleet, type Fleet, type FleetEngine} from "../src/core/placement-state.js"
-import {takeEngines, takeNeed} from "../src/core/placement-uses.js"
-import {nameLife} from "../src/core/server-lives.js"
+import {updateEngines, handleWeightsRequest} from "../src/core/placement-uses.js"
+import {incarnationId} from "../src/core/server-incarnations.js"
 import {stepRouted} from "../src/core/serving.js"
 import type {RoutedState} from "../src/core/serving-fleet.js"
 import type {BackendRecord, FleetService, Route} from "../src/types/fleet.js"
 
 function recordOf(startedAt: number | undefined, revision: number): BackendRecord {
   return {
-    id: nameLife("w", startedAt),
+    id: incarnationId("w", startedAt),
     server: "w",
     revision,
     service: "s",
@@ -40,19 +40,19 @@
 const OLD = recordOf(5_000, 1)
 const NEXT = recordOf(9_000, 2)
 
-const byStore = (at: number): Reading => ({source: "store", at})
+const byStore = (at: number): StoreRead => ({source: "store", readAt: at})
 const ids = ({known}: BackendList): string[] => [...known.keys()]
 
 const listOf = (record: BackendRecord): BackendList =>
-  takeBackends(createBackendList(), [record], byStore(0), 0)
+  applyBackendList(createBackendList(), [record], byStore(0), 0)
 
 t.test("the next life takes the place of the last at once, also in doubt", async t => {
-  const doubtful = noteStoreTrouble(listOf(OLD), 10)
+  const doubtful = recordStoreFailure(listOf(OLD), 10)
   for (const list of [listOf(OLD), doubtful]) {
-    t.same(ids(takeBackend(list, "w", NEXT, byStore(20), 20)), [NEXT.id])
-    const whole = takeBackends(list, [NEXT], byStore(20), 20)
+    t.same(ids(applyBackendUpdate(list, "w", NEXT, byStore(20), 20)), [NEXT.id])
+    const whole = applyBackendList(list, [NEXT], byStore(20), 20)
     t.same(ids(whole), [NEXT.id])
-    t.same(listEndedLives(list, whole), [{id: OLD.id, next: NEXT.id}])
+    t.same(listEndedIncarnations(list, whole), [{id: OLD.id, next: NEXT.id}])
   }
 })
 
@@ -60,33 +60,39 @@
   "a life that started earlier by its clock is the next one all the same",
   async t => {
     const stepped = recordOf(1_000, 3)
-    const list = takeBackend(listOf(NEXT), "w", stepped, byStore(20), 20)
+    const list = applyBackendUpdate(listOf(NEXT), "w", stepped, byStore(20), 20)
     t.same(ids(list), [stepped.id])
   }
 )
 
 t.test("older news of an ended life changes nothing, whichever way it comes", async t => {
-  const list = takeBackend(listOf(OLD), "w", NEXT, byStore(20), 20)
+  const list = applyBackendUpdate(listOf(OLD), "w", NEXT, byStore(20), 20)
   for (const source of ["store", "box"] as const) {
-    const change = takeBackend(list, "w", OLD, {source, at: 30}, 30)
+    const change = applyBackendUpdate(list, "w", OLD, {source, readAt: 30}, 30)
     t.same(ids(change), [NEXT.id], `a change by ${source}`)
-    const whole = takeBackends(list, [OLD], {source, at: 10}, 30)
+    const whole = applyBackendList(list, [OLD], {source, readAt: 10}, 30)
     t.same(ids(whole), [NEXT.id], `a list by ${source}`)
   }
-  const fresh = takeBackends(createBackendList(), [NEXT], byStore(20), 20)
+  const fresh = applyBackendList(createBackendList(), [NEXT], byStore(20), 20)
   t.same(
-    ids(takeBackend(fresh, "w", OLD, byStore(30), 30)),
+    ids(applyBackendUpdate(fresh, "w", OLD, byStore(30), 30)),
     [NEXT.id],
     "never heard of it"
   )
 })
 
 t.test("a leader's word that an ended life is gone does not end the next", async t => {
-  const list = takeBackend(listOf(OLD), "w", NEXT, {source: "box", at: 20}, 20)
-  const told = takeBackend(list, OLD.id, undefined, {source: "box", at: 30}, 30)
+  const list = applyBackendUpdate(listOf(OLD), "w", NEXT, {source: "box", readAt: 20}, 20)
+  const told = applyBackendUpdate(
+    list,
+    OLD.id,
+    undefined,
+    {source: "box", readAt: 30},
+    30
+  )
   t.same(ids(told), [NEXT.id])
   t.same(
-    ids(takeBackend(told, "w", undefined, byStore(40), 40)),
+    ids(applyBackendUpdate(told, "w", undefined, byStore(40), 40)),
     [],
     "its own entry does"
   )
@@ -95,7 +101,7 @@
 t.test("a server that said that it leaves may serve again in its next life", async t => {
   const leaving = listOf({...OLD, leaving: true})
   t.notOk(isUsable(leaving, OLD.id))
-  t.ok(isUsable(takeBackend(leaving, "w", NEXT, byStore(20), 20), NEXT.id))
+  t.ok(isUsable(applyBackendUpdate(leaving, "w", NEXT, byStore(20), 20), NEXT.id))
 })
 
 // Seen in a soak: a box took the life that a copy of the store held for the next one, and never sent to the server
@@ -106,12 +112,12 @@
     const known = {...recordOf(9_000, 50), era: 4}
     const copied = {...recordOf(5_000, 20), era: 5}
     const again = {...recordOf(9_000, 30), era: 5}
-    const risen = noteRise(listOf(known), 100, 100)
+    const risen = recordRestore(listOf(known), 100, 100)
     for (const read of [
       (record: BackendRecord, list: BackendList, at: number): BackendList =>
-        takeBackends(list, [record], byStore(at), at),
+        applyBackendList(list, [record], byStore(at), at),
       (record: BackendRecord, list: BackendList, at: number): BackendList =>
-        takeBackend(list, "w", record, byStore(at), at)
+        applyBackendUpdate(list, "w", record, byStore(at), at)
     ]) {
       const after = read(copied, risen, 110)
       t.same(ids(after), [known.id], "it is known in a later one")
@@ -134,11 +140,13 @@
 t.test(
   "an entry that cannot be read is no lapse, and a good one counts again",
   async t => {
-    const away = noteStoreTrouble(listOf(OLD), 10)
-    const bad = takeBackends(away, [], byStore(20), 20, new Set(["w"]))
+    const away = recordStoreFailure(listOf(OLD), 10)
+    const bad = applyBackendList(away, [], byStore(20), 20, new Set(["w"]))
     t.same(ids(bad), [])
-    t.same(ids(takeBackend(away, "w", "unreadable", byStore(20), 20)), [])
-    t.same(ids(takeBackend(bad, "w", recordOf(5_000, 4), byStore(30), 30)), [OLD.id])
+    t.same(ids(applyBackendUpdate(away, "w", "unreadable", byStore(20), 20)), [])
+    t.same(ids(applyBackendUpdate(bad, "w", recordOf(5_000, 4), byStore(30), 30)), [
+      OLD.id
+    ])
   }
 )
 
@@ -228,11 +236,11 @@
 ): void {
   const adapters = new Map(held.map(name => [name, 1]))
   const models = [{name: "base", adapters}]
-  takeReport(fleet, id, {sequence, busy: false, models, pending: []}, now)
+  applyEngineReport(fleet, id, {sequence, busy: false, models, pending: []}, now)
 }
 
 function need(fleet: Fleet, adapter: string, now: number): void {
-  takeNeed(
+  handleWeightsRequest(
     fleet,
     "box",
     {
@@ -268,13 +276,13 @@
   now: number
 } {
   const fleet = createFleet(0)
-  takeEngines(fleet, SERVICES, [OLD], 0)
+  updateEngines(fleet, SERVICES, [OLD], 0)
   report(fleet, OLD.id, 3, ["a"], 0)
   need(fleet, "x", 10)
   t.same(ordersOf(fleet, 10), ["load x at 3"])
-  if (settled) takeOrderResult(fleet, OLD.id, "unknown", 160)
-  takeEngines(fleet, SERVICES, [NEXT], 200)
-  fleet.waiting.clear()
+  if (settled) handleOrderResult(fleet, OLD.id, "unknown", 160)
+  updateEngines(fleet, SERVICES, [NEXT], 200)
+  fleet.waitingRequests.clear()
   const engine = fleet.engines.get(NEXT.id) as FleetEngine
   return {fleet, engine, now: 300}
 }
@@ -288,7 +296,7 @@
       report(fleet, engine.id, 0, [], now)
       need(fleet, "b", now)
       t.same(ordersOf(fleet, now), ["load b at 0"])
-      takeOrderResult(fleet, engine.id, "accepted", now)
+      handleOrderResult(fleet, engine.id, "accepted", now)
       need(fleet, "c", now)
       t.same(
         ordersOf(fleet, now),
@@ -318,11 +326,11 @@
 
 t.test("an engine that answers from another life is not ordered nor sent to", async t => {
   const fleet = createFleet(0)
-  takeEngines(fleet, SERVICES, [OLD], 0)
+  updateEngines(fleet, SERVICES, [OLD], 0)
   report(fleet, OLD.id, 3, ["a"], 0)
   planFleet(fleet, true, 0)
   drainFleet(fleet)
-  takeLifeOver(fleet, OLD.id, 10)
+  handleIncarnationEnd(fleet, OLD.id, 10)
   need(fleet, "b", 20)
   planFleet(fleet, true, 20)
   const effects = drainFleet(fleet)
--- a/test/server-rates-core.test.ts
+++ b/test/server-rates-core.test.ts
@@ -2,7 +2,7 @@
 import t from "tap"
 import {RatePacer} from "../src/core/rate-pacer.js"
 import {RecentSends} from "../src/core/recent-sends.js"
-import {takeNotice} from "../src/core/server-notices.js"
+import {handleNotice} from "../src/core/server-notices.js"
 import {STREAM, Subject, WEIGHTS} from "./support/box-subject.js"
 import {applyFullSnapshot} from "../src/core/box-engines.js"
 import {SendAllowances} from "../src/core/send-allowances.js"
@@ -90,7 +90,7 @@
   const {box, now} = new Subject()
   box.recentSends.record(S, now)
   box.effects = []
-  takeNotice(box, S, {...SAYS_NOTHING, perSecond: 2}, now, now)
+  handleNotice(box, S, {...SAYS_NOTHING, perSecond: 2}, now, now)
   const told = box.effects.map(({type}) => type).filter(type => type !== "note")
   t.same(told, ["rate-news", "sent-lately"])
 })
@@ -101,7 +101,7 @@
   const subject = new Subject()
   const {box, now} = subject
   for (const server of ["one", "two"]) {
-    takeNotice(box, server, {...SAYS_NOTHING, perSecond: 2}, now, now)
+    handleNotice(box, server, {...SAYS_NOTHING, perSecond: 2}, now, now)
   }
   const places = [{adapter: "m/x", version: 1, readyInMs: 0}]
   applyFullSnapshot(box, [{engine: "one", models: ["m"], places}], now)
--- a/test/news-age.test.ts
+++ b/test/snapshot-age.test.ts
@@ -4,16 +4,16 @@
 import t from "tap"
 import {NewsHelp} from "../src/adapters/news-help.js"
 import {
-  createNewsAge,
-  hearsOfLeader,
-  isNewer,
-  LATE_MS,
-  LIST_MS,
-  newsAgeMs,
-  noteLeaderReading,
-  noteReading,
-  OLDEST_MS
-} from "../src/core/news-age.js"
+  createSnapshotAge,
+  hasFreshLeaderRead,
+  isNewerSnapshot,
+  LATE_ANSWER_MS,
+  LIST_INTERVAL_MS,
+  snapshotAgeMs,
+  recordLeaderRead,
+  recordRead,
+  REFRESH_AGE_MS
+} from "../src/core/snapshot-age.js"
 import {IDLE_TICK_MS} from "../src/core/serving.js"
 import {parseToLeader} from "../src/types/box-frames.js"
 import type {StoreSnapshotRequest, StoreSnapshot} from "../src/types/box-messages.js"
@@ -33,38 +33,38 @@
 t.test(
   "the delays from a write in the store to the last send stay within the bound",
   async t => {
-    const ofLeader = LIST_MS + LATE_MS + IDLE_TICK_MS + ROUND_TRIP_MS
+    const ofLeader = LIST_INTERVAL_MS + LATE_ANSWER_MS + IDLE_TICK_MS + ROUND_TRIP_MS
     t.ok(
-      ofLeader <= OLDEST_MS,
+      ofLeader <= REFRESH_AGE_MS,
       "updates of a leader that reads in time arrive before boxes read the store"
     )
-    const ofBox = OLDEST_MS + IDLE_TICK_MS + LATE_MS + ROUND_TRIP_MS
-    const throughOther = ofBox + IDLE_TICK_MS + LATE_MS + ROUND_TRIP_MS
+    const ofBox = REFRESH_AGE_MS + IDLE_TICK_MS + LATE_ANSWER_MS + ROUND_TRIP_MS
+    const throughOther = ofBox + IDLE_TICK_MS + LATE_ANSWER_MS + ROUND_TRIP_MS
     t.ok(throughOther < BOUND_MS, `${throughOther} ms`)
   }
 )
 
 t.test("a snapshot is as old as the newest store read, whichever box read", async t => {
-  const own = noteReading(createNewsAge(), 1_000)
-  t.equal(newsAgeMs(createNewsAge(), 5_000), Infinity)
-  t.equal(newsAgeMs(own, 5_000), 4_000)
-  const both = noteLeaderReading(own, 4_500)
-  t.equal(newsAgeMs(both, 5_000), 500)
+  const own = recordRead(createSnapshotAge(), 1_000)
+  t.equal(snapshotAgeMs(createSnapshotAge(), 5_000), Infinity)
+  t.equal(snapshotAgeMs(own, 5_000), 4_000)
+  const both = recordLeaderRead(own, 4_500)
+  t.equal(snapshotAgeMs(both, 5_000), 500)
   t.equal(
-    newsAgeMs(noteLeaderReading(both, 2_000), 5_000),
+    snapshotAgeMs(recordLeaderRead(both, 2_000), 5_000),
     500,
     "an older read changes nothing"
   )
-  t.ok(hearsOfLeader(both, 4_500 + OLDEST_MS - 1))
-  t.notOk(hearsOfLeader(both, 4_500 + OLDEST_MS))
-  t.notOk(hearsOfLeader(own, 1_000), "its own read does not count for the leader")
+  t.ok(hasFreshLeaderRead(both, 4_500 + REFRESH_AGE_MS - 1))
+  t.notOk(hasFreshLeaderRead(both, 4_500 + REFRESH_AGE_MS))
+  t.notOk(hasFreshLeaderRead(own, 1_000), "its own read does not count for the leader")
 })
 
 // A leader that the store rejected received its own snapshot back from its boxes.
 t.test("a box passes on only a snapshot newer than the requester's", async t => {
-  t.notOk(isNewer(1_000, 1_010), "the leader's own snapshot")
-  t.ok(isNewer(300, 1_010))
-  t.ok(isNewer(5_000, Infinity), "the requester has none")
+  t.notOk(isNewerSnapshot(1_000, 1_010), "the leader's own snapshot")
+  t.ok(isNewerSnapshot(300, 1_010))
+  t.ok(isNewerSnapshot(5_000, Infinity), "the requester has none")
 })
 
 t.test("a box without a snapshot may request one", async t => {
--- a/test/store-calls.test.ts
+++ b/test/store-calls.test.ts
@@ -5,7 +5,7 @@
 import t from "tap"
 import {connectStore} from "../platform/store.js"
 import {StoreEras} from "../src/adapters/era-source.js"
-import {LATE_MS} from "../src/core/news-age.js"
+import {LATE_ANSWER_MS} from "../src/core/snapshot-age.js"
 import type {KvStore} from "../src/ports/ports.js"
 
 setFlagsFromString("--expose-gc")
@@ -92,9 +92,9 @@
   t.equal(store.connections, 3)
   store.silence()
   const late = kv.list("a/").catch(() => "late")
-  await sleep(LATE_MS + 50)
+  await sleep(LATE_ANSWER_MS + 50)
   const startedAt = performance.now()
   t.match(await kv.list("a/"), {entries: []})
-  t.ok(performance.now() - startedAt < LATE_MS)
+  t.ok(performance.now() - startedAt < LATE_ANSWER_MS)
   t.equal(await late, "late")
 })
--- a/test/store-counter.test.ts
+++ b/test/store-counter.test.ts
@@ -7,7 +7,7 @@
 import {LeaderElection} from "../src/adapters/leader-election.js"
 import {formatStoreCalls} from "../src/bin/sedgectl-tables.js"
 import type {LogLine} from "../src/core/explain.js"
-import {LATE_MS, LIST_MS} from "../src/core/news-age.js"
+import {LATE_ANSWER_MS, LIST_INTERVAL_MS} from "../src/core/snapshot-age.js"
 import {sumStoreCalls} from "../src/core/store-calls.js"
 import {KvRefused, KvUnavailable, KvUnknown} from "../src/errors.js"
 import type {KvStore} from "../src/ports/ports.js"
@@ -33,7 +33,7 @@
 t.test("each call counts once, by its outcome", async t => {
   const results: (() => Promise<undefined>)[] = [
     () => Promise.resolve(undefined),
-    () => pause(LATE_MS + 30),
+    () => pause(LATE_ANSWER_MS + 30),
     () => Promise.reject(new KvRefused("the store answered 503")),
     () => Promise.reject(new KvUnavailable("no connection")),
     () => Promise.reject(new KvUnknown("reset")),
@@ -97,13 +97,13 @@
   let asked = 0
   const list: KvStore["list"] = async () => {
     asked++
-    if (asked === 2) await pause(LATE_MS * 2)
+    if (asked === 2) await pause(LATE_ANSWER_MS * 2)
     const entries = [{key: `a/${asked}`, value: "", revision: 1}]
     return {entries, revision: 1, more: asked === 1}
   }
   const {kv, read} = count({list})
   await listAll(kv, "a/", true, {caller: "box-list", reason: "first"})
-  await pause(LATE_MS * 2)
+  await pause(LATE_ANSWER_MS * 2)
   t.same(read(), {
     "box-list first ok": 1,
     "box-list next-page late": 1,
@@ -137,7 +137,7 @@
     cut: () => undefined
   })
   t.teardown(() => follower.stop())
-  await until("a regular list", () => lists >= 4, LIST_MS * 4)
+  await until("a regular list", () => lists >= 4, LIST_INTERVAL_MS * 4)
   await pause(10)
   t.match(read(), {
     "leader-list first refused": 1,
--- a/test/store-eras.test.ts
+++ b/test/store-eras.test.ts
@@ -10,12 +10,12 @@
   createBackendList,
   expireBackends,
   isUsable,
-  noteRise,
-  noteStoreBack,
-  noteStoreServed,
-  noteStoreTrouble,
-  takeBackend,
-  takeBackends
+  recordRestore,
+  recordStoreRecovery,
+  recordStoreServedOthers,
+  recordStoreFailure,
+  applyBackendUpdate,
+  applyBackendList
 } from "../src/core/backend-list.js"
 import {
   isSnapshotCurrent,
@@ -24,14 +24,14 @@
 } from "../src/core/box-snapshot-age.js"
 import {applyVersions} from "../src/core/box-versions.js"
 import {
-  confirmLead,
+  confirmLeadership,
   createLeadership,
-  doubtLead,
+  suspendLeadership,
   type LeadershipOptions,
-  mayOrder,
-  takeLead
+  canOrder,
+  beginLeadership
 } from "../src/core/leadership.js"
-import {isLater, toFence} from "../src/core/eras.js"
+import {isLaterPosition, toFence} from "../src/core/eras.js"
 import {KvUnavailable, KvUnknown} from "../src/errors.js"
 import type {KvStore} from "../src/ports/ports.js"
 import type {BackendRecord} from "../src/types/fleet.js"
@@ -130,8 +130,8 @@
 t.test(
   "positions and fences of a later era are higher, whatever their revisions",
   async t => {
-    t.ok(isLater({revision: 1, era: 2}, {revision: 900, era: 1}))
-    t.notOk(isLater({revision: 900, era: 1}, {revision: 1, era: 2}))
+    t.ok(isLaterPosition({revision: 1, era: 2}, {revision: 900, era: 1}))
+    t.notOk(isLaterPosition({revision: 900, era: 1}, {revision: 1, era: 2}))
     t.ok(toFence({revision: 1, era: 2}) > toFence({revision: 10 ** 9, era: 1}))
     t.equal(toFence({revision: 12}), 12, "without eras as it was")
     t.ok(Number.isSafeInteger(toFence({revision: 2 ** 40 - 1, era: 8_191})))
@@ -165,14 +165,17 @@
 
 t.test("a life that ended does not come back with a copy", async t => {
   const next = {...STARTED, id: "w~2", revision: 90}
-  const at = (now: number): {source: "store"; at: number} => ({source: "store", at: now})
-  let list = takeBackends(createBackendList(), [STARTED], at(0), 0)
-  list = takeBackends(list, [next], at(1_000), 1_000)
-  list = noteRise(list, 2_000, 2_000)
-  list = takeBackends(list, [{...STARTED, revision: 10, era: 2}], at(2_010), 2_010)
+  const at = (now: number): {source: "store"; at: number} => ({
+    source: "store",
+    readAt: now
+  })
+  let list = applyBackendList(createBackendList(), [STARTED], at(0), 0)
+  list = applyBackendList(list, [next], at(1_000), 1_000)
+  list = recordRestore(list, 2_000, 2_000)
+  list = applyBackendList(list, [{...STARTED, revision: 10, era: 2}], at(2_010), 2_010)
   t.same([...list.known.keys()], ["w~2"])
   const third = {...STARTED, id: "w~3", revision: 12, era: 2}
-  list = takeBackends(list, [third], at(3_000), 3_000)
+  list = applyBackendList(list, [third], at(3_000), 3_000)
   t.same([...list.known.keys()], ["w~3"], "a newer one does, with a lower revision")
 })
 
@@ -184,44 +187,52 @@
       at: now
     })
     const copied = {...STARTED, era: 2}
-    let list = takeBackends(createBackendList(), [STARTED], at(0), 0)
-    list = takeBackends(list, [], at(1_000), 1_000)
-    list = noteRise(list, 2_000, 2_000)
-    list = takeBackends(list, [copied], at(2_010), 2_010)
+    let list = applyBackendList(createBackendList(), [STARTED], at(0), 0)
+    list = applyBackendList(list, [], at(1_000), 1_000)
+    list = recordRestore(list, 2_000, 2_000)
+    list = applyBackendList(list, [copied], at(2_010), 2_010)
     t.notOk(isUsable(list, "w~1"))
     t.ok(isUsable(expireBackends(list, 7_001), "w~1"), "its entry is still there")
-    const lapsed = takeBackends(list, [], at(5_500), 5_500)
+    const lapsed = applyBackendList(list, [], at(5_500), 5_500)
     t.notOk(isUsable(expireBackends(lapsed, 7_001), "w~1"), "it is not")
   }
 )
 
 // Found by the specification of copies: the box had started after the server left, and read no list that held it.
 t.test("a server that was not known as the era rose may have left before", async t => {
-  const at = (now: number): {source: "store"; at: number} => ({source: "store", at: now})
+  const at = (now: number): {source: "store"; at: number} => ({
+    source: "store",
+    readAt: now
+  })
   const copied = {...STARTED, era: 2}
-  const read = takeBackends(createBackendList(), [], at(1_000), 1_000)
-  const risen = noteRise(read, 2_000, 2_000)
+  const read = applyBackendList(createBackendList(), [], at(1_000), 1_000)
+  const risen = recordRestore(read, 2_000, 2_000)
   for (const list of [
-    takeBackends(risen, [copied], at(2_010), 2_010),
-    takeBackend(risen, "w", copied, at(2_010), 2_010)
+    applyBackendList(risen, [copied], at(2_010), 2_010),
+    applyBackendUpdate(risen, "w", copied, at(2_010), 2_010)
   ]) {
     t.notOk(isUsable(list, "w~1"))
     t.ok(isUsable(expireBackends(list, 7_001), "w~1"), "its entry is still there")
-    const lapsed = takeBackend(list, "w", undefined, at(5_000), 5_000)
+    const lapsed = applyBackendUpdate(list, "w", undefined, at(5_000), 5_000)
     t.notOk(isUsable(expireBackends(lapsed, 7_001), "w~1"), "it is not")
   }
-  const told = takeBackends(risen, [copied], {source: "box", at: 2_010}, 2_010)
+  const told = applyBackendList(risen, [copied], {source: "box", readAt: 2_010}, 2_010)
   t.ok(isUsable(told, "w~1"), "a box that remembers more vouches for it")
 })
 
 // Seen in a soak: plain requests were refused for 20 s by a box that had asked others for news as the era rose.
 t.test("that the store served others ends no doubt that the rise has set", async t => {
-  const at = (now: number): {source: "store"; at: number} => ({source: "store", at: now})
-  let list = takeBackends(createBackendList(), [STARTED], at(0), 0)
-  list = noteStoreServed(noteRise(noteStoreTrouble(list, 1_500), 2_000, 2_000))
-  list = takeBackends(list, [], at(2_080), 2_080)
+  const at = (now: number): {source: "store"; at: number} => ({
+    source: "store",
+    readAt: now
+  })
+  let list = applyBackendList(createBackendList(), [STARTED], at(0), 0)
+  list = recordStoreServedOthers(
+    recordRestore(recordStoreFailure(list, 1_500), 2_000, 2_000)
+  )
+  list = applyBackendList(list, [], at(2_080), 2_080)
   t.ok(isUsable(list, "w~1"))
-  list = noteStoreServed(list)
+  list = recordStoreServedOthers(list)
   t.ok(isUsable(list, "w~1"))
   t.notOk(isUsable(expireBackends(list, 4_100), "w~1"))
 })
@@ -233,9 +244,9 @@
       source: "store",
       at: now
     })
-    let list = takeBackends(createBackendList(), [STARTED], at(0), 0)
-    list = takeBackends(noteStoreTrouble(list, 1_000), [], at(1_100), 1_100)
-    list = noteStoreBack(noteRise(list, 2_000, 2_000), 2_010)
+    let list = applyBackendList(createBackendList(), [STARTED], at(0), 0)
+    list = applyBackendList(recordStoreFailure(list, 1_000), [], at(1_100), 1_100)
+    list = recordStoreRecovery(recordRestore(list, 2_000, 2_000), 2_010)
     t.ok(isUsable(list, "w~1"))
     t.notOk(isUsable(expireBackends(list, 4_100), "w~1"))
   }
@@ -245,21 +256,27 @@
 t.test(
   "a server that is told gone after the rise is back as soon as it is told",
   async t => {
-    const told = (now: number): {source: "box"; at: number} => ({source: "box", at: now})
-    let list = takeBackends(createBackendList(), [STARTED], told(0), 0)
-    list = noteRise(list, 2_000, 2_000)
-    list = takeBackend(list, "w~1", undefined, told(4_050), 4_050)
+    const told = (now: number): {source: "box"; at: number} => ({
+      source: "box",
+      readAt: now
+    })
+    let list = applyBackendList(createBackendList(), [STARTED], told(0), 0)
+    list = recordRestore(list, 2_000, 2_000)
+    list = applyBackendUpdate(list, "w~1", undefined, told(4_050), 4_050)
     t.notOk(isUsable(list, "w~1"))
-    list = takeBackend(list, "w~1", {...STARTED, era: 2}, told(4_300), 4_300)
+    list = applyBackendUpdate(list, "w~1", {...STARTED, era: 2}, told(4_300), 4_300)
     t.ok(isUsable(list, "w~1"))
   }
 )
 
 t.test("a server that the copy lacks has time to write again", async t => {
-  const at = (now: number): {source: "store"; at: number} => ({source: "store", at: now})
-  let list = takeBackends(createBackendList(), [STARTED], at(0), 0)
-  list = noteRise(list, 2_000, 2_000)
-  list = takeBackends(list, [], at(2_010), 2_010)
+  const at = (now: number): {source: "store"; at: number} => ({
+    source: "store",
+    readAt: now
+  })
+  let list = applyBackendList(createBackendList(), [STARTED], at(0), 0)
+  list = recordRestore(list, 2_000, 2_000)
+  list = applyBackendList(list, [], at(2_010), 2_010)
   t.ok(isUsable(list, "w~1"))
   t.notOk(isUsable(expireBackends(list, 4_100), "w~1"))
 })
@@ -268,7 +285,7 @@
   const subject = new Subject()
   const {box} = subject
   recordSnapshotTime(box, 1_000)
-  applyEra(box, {era: 2, by: 2_000, risen: true}, true)
+  applyEra(box, {era: 2, begunBy: 2_000, restored: true}, true)
   recordSnapshotTime(box, 5_000)
   applyVersions(box, [["m/x", 2]], 5_100)
   t.equal(box.versions.get("m/x")?.at(-1)?.announcedAfter, 1_000)
@@ -284,9 +301,9 @@
   async t => {
     const {box} = new Subject()
     recordSnapshotTime(box, 1_000)
-    applyEra(box, {era: 2, by: 2_000, risen: true}, true)
+    applyEra(box, {era: 2, begunBy: 2_000, restored: true}, true)
     recordSnapshotTime(box, 3_000)
-    applyEra(box, {era: 3, by: 4_000, risen: true}, true)
+    applyEra(box, {era: 3, begunBy: 4_000, restored: true}, true)
     applyVersions(box, [["m/x", 2]], 4_500)
     t.equal(box.versions.get("m/x")?.at(-1)?.announcedAfter, 1_000)
   }
@@ -301,14 +318,14 @@
 
 t.test("no order leaves in a new era before the lead is claimed again", async t => {
   const lead = createLeadership()
-  takeLead(lead, {fence: 5, lease: "1", sentAt: 0, eraBy: -60_000}, 10, UNCHECKED)
-  t.ok(mayOrder({...lead, validUntil: 9_000}, 3_300))
+  beginLeadership(lead, {fence: 5, lease: "1", sentAt: 0, eraBy: -60_000}, 10, UNCHECKED)
+  t.ok(canOrder({...lead, validUntil: 9_000}, 3_300))
   lead.validUntil = 9_000
-  doubtLead(lead)
-  t.notOk(mayOrder(lead, 3_300))
+  suspendLeadership(lead)
+  t.notOk(canOrder(lead, 3_300))
   const claim = {fence: 9, lease: "2", sentAt: 3_350, eraBy: 3_300}
-  confirmLead(lead, claim, 3_360, UNCHECKED)
-  t.ok(mayOrder(lead, 3_361), "nobody else led in between")
+  confirmLeadership(lead, claim, 3_360, UNCHECKED)
+  t.ok(canOrder(lead, 3_361), "nobody else led in between")
   t.equal(lead.fence, 9)
 })
 
@@ -317,16 +334,16 @@
   async t => {
     const claim = {fence: 9, lease: "2", sentAt: 1_000, eraBy: 900}
     const lead = createLeadership()
-    takeLead(lead, claim, 1_010, UNCHECKED)
+    beginLeadership(lead, claim, 1_010, UNCHECKED)
     t.equal(lead.orderFrom, 900 + 1_200 + 3_200)
     const checked = createLeadership()
-    takeLead(checked, claim, 1_010, {...UNCHECKED, checksFences: true})
+    beginLeadership(checked, claim, 1_010, {...UNCHECKED, checksFences: true})
     t.equal(checked.orderFrom, 1_010)
     const late = createLeadership()
     const lapsed = {fence: 1, lease: "1", sentAt: -2_000}
-    takeLead(late, lapsed, -2_000, UNCHECKED)
+    beginLeadership(late, lapsed, -2_000, UNCHECKED)
     late.orderFrom = -2_000
-    confirmLead(late, claim, 1_010, UNCHECKED)
+    confirmLeadership(late, claim, 1_010, UNCHECKED)
     t.equal(late.orderFrom, 900 + 1_200 + 3_200, "a lead that had lapsed is none")
   }
 )
--- a/test/store-follower.test.ts
+++ b/test/store-follower.test.ts
@@ -1,7 +1,7 @@
 /** Lists and watches of a box that follows the store, with a store that fails in one of them. */
 import t from "tap"
 import {type FollowerEvents, StoreFollower} from "../src/adapters/store-follower.js"
-import {LIST_MS} from "../src/core/news-age.js"
+import {LIST_INTERVAL_MS} from "../src/core/snapshot-age.js"
 import {KvUnavailable, KvUnknown} from "../src/errors.js"
 import type {KvStore} from "../src/ports/ports.js"
 import {until} from "./support/wait.js"
@@ -52,7 +52,10 @@
   t.same(seen.troubles, [])
   t.notOk(follower.isFailing(performance.now()))
   const [first = 0, second = Infinity] = seen.lists
-  t.ok(second - first < LIST_MS, `the next list after ${Math.round(second - first)} ms`)
+  t.ok(
+    second - first < LIST_INTERVAL_MS,
+    `the next list after ${Math.round(second - first)} ms`
+  )
 })
 
 t.test("a list that fails is trouble until one is answered", async t => {
--- a/test/support/box-subject.ts
+++ b/test/support/box-subject.ts
@@ -1,6 +1,6 @@
 /** A box's serving state under test, with two backend servers, and what its requests bring about. */
 import {tickRequests} from "../../src/core/box-clock.js"
-import {takeBackends} from "../../src/core/backend-list.js"
+import {applyBackendList} from "../../src/core/backend-list.js"
 import type {AttemptFailure} from "../../src/core/box-attempt-failures.js"
 import {handleAttemptFailure, handleAttemptStart} from "../../src/core/box-attempts.js"
 import {admit} from "../../src/core/box-requests.js"
@@ -62,10 +62,10 @@
     })
     this.box.hasLeader = true
     const records = [record("one"), record("two")]
-    this.box.backends = takeBackends(
+    this.box.backends = applyBackendList(
       this.box.backends,
       records,
-      {source: "store", at: 0},
+      {source: "store", readAt: 0},
       0
     )
   }
