--- a/src/core/placement-news.ts
+++ b/src/core/placement-news.ts
@@ -106,9 +106,7 @@
   }
 }
 
-function listUsableSlots({
-  places: slots
-}: FleetEngine): [adapter: string, place: Place][] {
+function listUsableSlots({places: slots}: FleetEngine): [adapter: string, slot: Place][] {
   return [...slots].filter(([, {phase}]) => phase !== "unloading")
 }
 
