--- a/src/core/placement-updates.ts
+++ b/src/core/placement-updates.ts
@@ -106,7 +106,7 @@
   }
 }
 
-function listUsableSlots({slots}: FleetEngine): [adapter: string, place: Slot][] {
+function listUsableSlots({slots}: FleetEngine): [adapter: string, slot: Slot][] {
   return [...slots].filter(([, {phase}]) => phase !== "unloading")
 }
 
--- a/test/store-eras.test.ts
+++ b/test/store-eras.test.ts
@@ -165,7 +165,7 @@
 
 t.test("a life that ended does not come back with a copy", async t => {
   const next = {...STARTED, id: "w~2", revision: 90}
-  const at = (now: number): {source: "store"; at: number} => ({
+  const at = (now: number): {source: "store"; readAt: number} => ({
     source: "store",
     readAt: now
   })
@@ -182,9 +182,9 @@
 t.test(
   "a server that was gone is back only when it outlasts the copy's entries",
   async t => {
-    const at = (now: number): {source: "store"; at: number} => ({
+    const at = (now: number): {source: "store"; readAt: number} => ({
       source: "store",
-      at: now
+      readAt: now
     })
     const copied = {...STARTED, era: 2}
     let list = applyBackendList(createBackendList(), [STARTED], at(0), 0)
@@ -200,7 +200,7 @@
 
 // Found by the specification of copies: the box had started after the server left, and read no list that held it.
 t.test("a server that was not known as the era rose may have left before", async t => {
-  const at = (now: number): {source: "store"; at: number} => ({
+  const at = (now: number): {source: "store"; readAt: number} => ({
     source: "store",
     readAt: now
   })
@@ -222,7 +222,7 @@
 
 // Seen in a soak: plain requests were refused for 20 s by a box that had asked others for news as the era rose.
 t.test("that the store served others ends no doubt that the rise has set", async t => {
-  const at = (now: number): {source: "store"; at: number} => ({
+  const at = (now: number): {source: "store"; readAt: number} => ({
     source: "store",
     readAt: now
   })
@@ -240,9 +240,9 @@
 t.test(
   "what vanished in an outage that ends with a rise is not in doubt for ever",
   async t => {
-    const at = (now: number): {source: "store"; at: number} => ({
+    const at = (now: number): {source: "store"; readAt: number} => ({
       source: "store",
-      at: now
+      readAt: now
     })
     let list = applyBackendList(createBackendList(), [STARTED], at(0), 0)
     list = applyBackendList(recordStoreFailure(list, 1_000), [], at(1_100), 1_100)
@@ -256,7 +256,7 @@
 t.test(
   "a server that is told gone after the rise is back as soon as it is told",
   async t => {
-    const told = (now: number): {source: "box"; at: number} => ({
+    const told = (now: number): {source: "box"; readAt: number} => ({
       source: "box",
       readAt: now
     })
@@ -270,7 +270,7 @@
 )
 
 t.test("a server that the copy lacks has time to write again", async t => {
-  const at = (now: number): {source: "store"; at: number} => ({
+  const at = (now: number): {source: "store"; readAt: number} => ({
     source: "store",
     readAt: now
   })
