--- a/src/adapters/leader-election.ts
+++ b/src/adapters/leader-election.ts
@@ -263,7 +263,7 @@
   }
 
   private toClaim(fence: number, lease: string, sentAt: number): Claim {
-    return {fence, lease, sentAt, eraBy: this.options_.eras.known?.begunBy}
+    return {fence, lease, sentAt, eraBegunBy: this.options_.eras.known?.begunBy}
   }
 
   private async look(): Promise<void> {
--- a/src/core/leadership.ts
+++ b/src/core/leadership.ts
@@ -69,7 +69,7 @@
   /** When the lease was requested. */
   readonly sentAt: number
   /** Upper bound of the begin of the store's era. Undefined if the store reports none. */
-  readonly eraBy?: number | undefined
+  readonly eraBegunBy?: number | undefined
 }
 
 /** Begins a leadership after a successful claim. */
@@ -82,7 +82,7 @@
   holdLease(leadership, claim, options)
   const {endedAt} = leadership
   // In the previous era another box may have led, which the restored store can't show.
-  const sameEra = claim.eraBy === undefined || endedAt > claim.eraBy
+  const sameEra = claim.eraBegunBy === undefined || endedAt > claim.eraBegunBy
   const noOtherLeader = sameEra && now - endedAt < handoverMs(options)
   leadership.orderFrom = noOtherLeader
     ? now
@@ -95,10 +95,7 @@
  * does not wait for that. If engines check fencing tokens there is no need to wait, since
  * the new one is higher.
  */
-function earliestOrderAfterEra(
-  {eraBy: eraBegunBy}: Claim,
-  options: LeadershipOptions
-): number {
+function earliestOrderAfterEra({eraBegunBy}: Claim, options: LeadershipOptions): number {
   if (options.checksFences || eraBegunBy === undefined) return -Infinity
   return eraBegunBy + options.ttlMs + handoverMs(options)
 }
