--- a/deploy/bundle.js
+++ b/deploy/bundle.js
@@ -1,7 +1,10 @@
-/** Bundles the box's program for the platform: two files start in half the time of hundreds. */
+/**
+ * Bundles the program of a box for the platform. Two files load in half the time of the
+ * hundreds of separate modules.
+ */
 import {build} from "esbuild"
 
-// Packages in CommonJS form ask for `require`, which a module does not have by itself.
+// CommonJS packages call `require`, which is not defined in ES modules.
 const REQUIRE = `import {createRequire as makeRequire} from "node:module"
 const require = makeRequire(import.meta.url)`
 
--- a/src/ports/fleet-ports.ts
+++ b/src/ports/fleet-ports.ts
@@ -1,48 +1,51 @@
-/** What a routed box needs of the platform it stands on: its words, and nothing of its ways. */
+/**
+ * Interfaces of a routed box to its platform: the formats of headers, orders, reports and
+ * stored entries.
+ */
 import type {IncomingHttpHeaders} from "node:http"
 import type {BackendRecord, FleetConfig, SharedPrefix, Weights} from "../types/fleet.js"
 import type {EngineReport, FleetOrder, OrderResult} from "../core/placement-state.js"
 import type {ServerNotice} from "../core/server-notices.js"
 import type {KvEntry} from "./ports.js"
 
-/** What a caller's request says of itself. */
+/** Data from the headers of a caller's request. */
 export interface RequestFacts {
-  /** The caller's name of the request. */
+  /** Id of the request, set by the caller. */
   readonly name: string
-  /** What the caller still waits, milliseconds; Infinity: not told. */
+  /** How long the caller will wait. Infinity if unknown. */
   readonly deadlineMs: number
   readonly weights?: Weights
   /** Prompt tokens. */
   readonly tokens: number
-  /** Tokens read and made, as far as the caller tells; undefined: it does not. */
+  /** Prompt and output tokens, as estimated by the caller. Undefined if unknown. */
   readonly usage?: number
-  /** Digest of the caller's key; undefined: it sent none. */
+  /** Digest of the caller's API key. Undefined if there is none. */
   readonly key?: string
   readonly prefix?: SharedPrefix
   readonly lastEventId?: string
 }
 
-/** What a box adds to a request for a backend server. */
+/** Data that a box adds to a request to a backend server. */
 export interface SendFacts {
-  /** The server's name, alike for all its lives. */
+  /** Name of the server, the same for all its incarnations. */
   readonly server: string
   readonly deadlineMs: number
   readonly priority: number
   readonly expectedVersion: number | undefined
   readonly lastEventId: string | undefined
-  /** Whose request it is; undefined: nobody's that is known. */
+  /** Undefined if the organisation is unknown. */
   readonly organisation: string | undefined
 }
 
-/** What the head of a backend server's answer says. */
+/** Data from the head of a backend server's answer. */
 export interface AnswerFacts {
-  /** The backend server's word that it did not run the request. */
+  /** Why the backend server did not run the request. Undefined if it may have run. */
   readonly notRun: "refused" | "misplaced" | undefined
-  /** The request it answers; an answer to another one belongs to nobody. */
+  /** Id of the answered request. Answers to other requests are not forwarded. */
   readonly name: string | undefined
-  /** It is the backend server's own answer. */
+  /** Whether the backend server itself sent the answer, so that it may be forwarded. */
   readonly genuine: boolean
-  /** What the backend server says of itself; undefined: nothing, or it is another than was asked. */
+  /** Undefined if there is none or another server than the target answered. */
   readonly notice: ServerNotice | undefined
 }
 
@@ -54,14 +57,14 @@
   readonly body?: string
 }
 
-/** The words of callers and backend servers. Headers are flat lists of names and values. */
+/** Protocol of callers and backend servers. Header lists alternate names and values. */
 export interface Dialect {
   readRequest(headers: IncomingHttpHeaders): RequestFacts
-  /** The headers of a send, from those that came. */
+  /** Returns the headers for the backend server. `headers` are those of the caller. */
   writeRequest(headers: readonly string[], facts: SendFacts): string[]
   readAnswer(status: number, headers: ReadonlyMap<string, string>): AnswerFacts
-  /** The headers of an answer of the box's own. */
-  ownAnswer(name: string): Readonly<Record<string, string>>
+  /** Returns the headers of an answer by the box itself. */
+  ownAnswer(requestId: string): Readonly<Record<string, string>>
   writeOrder(
     server: string,
     order: FleetOrder,
@@ -70,7 +73,7 @@
     expectedSequence: number
   ): EngineCall
   readOrderResult(status: number): OrderResult
-  /** What an engine says of itself as it answers an order or a question; undefined: nothing. */
+  /** Reads the notice in an engine's answer to an order or report request, if any. */
   readNotice(
     status: number,
     headers: ReadonlyMap<string, string>
@@ -80,18 +83,17 @@
 }
 
 /**
- * What the key-value service holds for the boxes, as its owner writes it. Others may write there, too:
- * each reader throws `UnreadableEntry` where an entry is not what its key promises.
+ * Parsers of the entries that the platform stores in the key-value service. Others can
+ * write there, too, so parsers throw `UnreadableEntry` if an entry is invalid for its key.
  */
 export interface FleetRecords {
-  /** The key of the configuration. */
   readonly configKey: string
-  /** The prefix of configuration and versions. */
+  /** Prefix of the configuration and of adapter versions. */
   readonly operatorPrefix: string
   readonly backendPrefix: string
-  /** The routing configuration, if the key is its. */
+  /** Undefined if it is another key than that of the routing configuration. */
   readConfig(key: string, value: string): FleetConfig | undefined
-  /** The newest version of an adapter, if the key names one. */
+  /** Undefined if it is another key than that of an adapter's newest version. */
   readVersion(
     key: string,
     value: string
--- a/src/ports/ports.ts
+++ b/src/ports/ports.ts
@@ -1,83 +1,94 @@
-/** The few interfaces between the core and the world. Adapters implement them; fakes can too. */
+/** Interfaces to external services and the clock. Adapters and fakes implement them. */
 import type {CallPurpose} from "../types/store-calls.js"
 import type {StorePosition} from "../types/store-position.js"
 
-/** A key of the key-value service, at its last change. Revisions grow with every change of any key. */
+/**
+ * A key with its value and the position of its last change. Each change of any key
+ * increases the revision.
+ */
 export interface KvEntry extends StorePosition {
   readonly key: string
   readonly value: string
 }
 
-/** A page of a list, and the position of the service as it was read. */
+/** A page of a list, with the position of the service at the time of the read. */
 export interface KvPage extends StorePosition {
   readonly entries: readonly KvEntry[]
-  /** There is another page. */
+  /** Whether there is another page. */
   readonly more?: boolean
 }
 
-/** The answer to a conditional change. */
+/** Result of a conditional change. */
 export type KvPutResult =
   | ({readonly ok: true} & StorePosition)
   | {readonly ok: false; readonly current: KvEntry | undefined}
 
 export interface KvPutOptions {
-  /** Only if the key has this revision; 0: only if it does not exist. */
+  /** Writes only if the key has this revision. 0 means that it must not exist. */
   readonly expectRevision?: number
-  /** The era of that revision, where the service tells eras: in another the change fails. */
+  /**
+   * Era of that revision; in another era the change fails. Undefined if the service
+   * reports no eras.
+   */
   readonly expectEra?: number | undefined
-  /** The key goes when this lease does. */
+  /** The service removes the key when this lease ends. */
   readonly lease?: string
 }
 
-/** A change seen by a watch; without a value the key was deleted. */
+/** A change received by a watch. */
 export interface KvChange extends StorePosition {
   readonly key: string
+  /** Undefined if the key was removed. */
   readonly value?: string
 }
 
 /**
- * The platform's key-value service. Every call rejects with `KvUnavailable` when it certainly
- * had no effect, and with `KvUnknown` when it may have had one.
+ * The platform's key-value service. Calls reject with `KvUnavailable` if they certainly had
+ * no effect, and with `KvUnknown` if they may have had one.
  */
 export interface KvStore {
-  /** `stale`: a cheaper read that may be seconds old, where the service has such. */
+  /** `stale` allows a cheaper read that may be seconds old, if the service supports it. */
   get(key: string, stale?: boolean): Promise<KvEntry | undefined>
-  /** All keys with the prefix, from `after` (exclusive) on, and the service's position. */
+  /** Lists the keys with the prefix, starting after the key `after`. */
   list(prefix: string, after?: string): Promise<KvPage>
   put(key: string, value: string, options?: KvPutOptions): Promise<KvPutResult>
   remove(key: string): Promise<void>
-  /** Removes the keys from `from` up to, but not with, `to`. */
+  /** Removes the keys from `from` (inclusive) to `to` (exclusive). */
   removeRange(from: string, to: string): Promise<void>
   grantLease(ttlMs: number): Promise<string>
-  /** False when the service does not know the lease (any more), or came back from a copy since it was granted. */
+  /**
+   * Returns false if the lease does not exist, or if the service was restored from an
+   * older backup after granting it.
+   */
   keepAlive(lease: string): Promise<boolean>
   revokeLease(lease: string): Promise<void>
   /**
-   * Changes after a position, in one waiting call; resolves when the call is over, with the position to go on
-   * from, and rejects where the service is in another era. `waitMs`: how long the call waits at most, where
-   * the service takes that.
+   * Waits in one call for changes after a position. Resolves at the end of the call to the
+   * position to continue from, and rejects if the service is in another era.
+   *
+   * @param maxWaitMs - How long the call may wait, if the service supports it.
    */
   watch(
     prefix: string,
     after: StorePosition,
-    take: (change: KvChange) => void,
+    onChange: (change: KvChange) => void,
     signal: AbortSignal,
-    waitMs?: number
+    maxWaitMs?: number
   ): Promise<StorePosition>
-  /** The same service for calls of one caller and reason, where they are counted. */
+  /** Returns a client that counts its calls for this purpose. Undefined if none does. */
   as?(purpose: CallPurpose): KvStore
 }
 
-/** The platform's list of boxes and backend servers, as it last said. It lags. */
+/** The platform's list of boxes and backend servers, which may be out of date. */
 export interface BoxList {
-  /** Names of the backend servers that are leaving. */
+  /** Returns the names of the backend servers that are leaving. */
   leaving(): Promise<ReadonlySet<string>>
 }
 
-/** The platform's weight store, which engines load from. */
+/** The platform's weight store, from which engines load adapters. */
 export interface WeightStore {
   exists(weights: string): Promise<boolean>
 }
 
-/** The monotonic clock of a process, milliseconds. */
+/** Returns the time of the process's monotonic clock (ms). */
 export type Clock = () => number
