--- a/deploy/undici.js
+++ b/deploy/undici.js
@@ -1,6 +1,6 @@
 /**
  * Exports the parts of `undici` that a box uses. The package's own entry point also loads
- * fetch, cookies, caches and mocks, which would take a quarter of the CPU time at startup.
+ * fetch, cookies, caches and mocks, which takes a quarter of the CPU time of a start.
  */
 import api from "../node_modules/undici/lib/api/index.js"
 import buildConnector from "../node_modules/undici/lib/core/connect.js"
--- a/src/bin/run-process.ts
+++ b/src/bin/run-process.ts
@@ -1,4 +1,4 @@
-/** The command line that the processes of a box share. */
+/** Command line of the processes of a box. */
 import {cac} from "cac"
 import {
   createContext,
@@ -18,7 +18,7 @@
   readonly settings?: string
 }
 
-/** Parses the arguments and runs a process until it ends. */
+/** Parses the arguments and runs the process until it ends. */
 export function runProcess(
   role: Role,
   start: (context: ProcessContext) => Promise<RunningProcess>
@@ -42,7 +42,9 @@
 function loadSettings({settings}: Flags, role: Role): Settings {
   try {
     if (settings === undefined) {
-      throw new SettingsError([{place: "", message: "--settings FILE is needed"}])
+      throw new SettingsError([
+        {place: "", message: "the option --settings FILE is missing"}
+      ])
     }
     return readSettings(settings, role)
   } catch (cause) {
--- a/src/bin/sedgectl-tables.ts
+++ b/src/bin/sedgectl-tables.ts
@@ -5,17 +5,17 @@
 import type {TimelineEntry} from "../core/timeline.js"
 import {EVENTS} from "../events.js"
 
-/** Boxes that a row of a timeline names at most. */
-const NAMED_BOXES = 4
+/** Limit for the boxes listed in a row of a timeline. */
+const MAX_LISTED_BOXES = 4
 
-/** Rows of records, one a line. */
+/** Formats records, one per line. */
 export function formatRows(records: readonly {id: string; generation: number}[]): string {
   const width = Math.max(2, ...records.map(({id}) => id.length))
   const lines = records.map(({id, generation}) => `${id.padEnd(width)}  ${generation}`)
   return [`${"ID".padEnd(width)}  GENERATION`, ...lines].join("\n")
 }
 
-/** The status of all processes, one a line. */
+/** Formats the status of all processes, one per line. */
 export function formatStatus(body: Record<string, unknown>): string {
   const processes = body["processes"] as Record<string, unknown>[]
   const lines = processes.map(
@@ -26,7 +26,7 @@
   return [head, "PROCESS\tDATA CENTRE\tGENERATION", ...lines].join("\n")
 }
 
-/** Differences: what a record was and is, and whose change it was. */
+/** Formats changed records, each with its operator, old and new value. */
 export function formatDifference(body: Record<string, unknown>): string {
   const records = body["records"] as Record<string, unknown>[]
   const show = (value: unknown) =>
@@ -40,7 +40,10 @@
     .join("\n")
 }
 
-/** A request's story: its steps, its weights' way, and what its boxes believed. */
+/**
+ * Formats the steps of a request, the orders for its weights, and changes in the boxes'
+ * view of the system.
+ */
 export function formatExplanation(explanation: Explanation): string {
   const {request, verdict, steps, placement, beliefs} = explanation
   return [
@@ -59,37 +62,40 @@
   return [title, ...rows]
 }
 
-/** What became of requests: a row for each route and span, a column for each outcome met. */
+/** Formats a row for each route and time span, and a column for each seen outcome. */
 export function formatLosses(rows: readonly LossRow[]): string {
-  const met = OUTCOMES.filter(outcome => rows.some(({counts}) => counts[outcome]))
+  const occurred = OUTCOMES.filter(outcome => rows.some(({counts}) => counts[outcome]))
   const lines = rows.map(({fromS, route, total, counts}) =>
-    [fromS, route, total, ...met.map(outcome => counts[outcome] ?? 0)].join("\t")
+    [fromS, route, total, ...occurred.map(outcome => counts[outcome] ?? 0)].join("\t")
   )
-  return [["FROM S", "ROUTE", "TOTAL", ...met].join("\t"), ...lines].join("\n")
+  return [["FROM S", "ROUTE", "TOTAL", ...occurred].join("\t"), ...lines].join("\n")
 }
 
-/** Who called the key-value service: a row for each caller, reason and outcome of a span, then the sum. */
+/**
+ * Formats calls to the key-value service, with a row for each time span, caller, reason
+ * and outcome, and the total.
+ */
 export function formatStoreCalls(rows: readonly StoreCallRow[]): string {
   const lines = rows.map(({fromS, caller, reason, outcome, calls, processes}) =>
     [fromS, caller, reason, outcome, calls, processes].join("\t")
   )
-  const sum = rows.reduce((total, {calls}) => total + calls, 0)
+  const total = rows.reduce((sum, {calls}) => sum + calls, 0)
   const head = ["FROM S", "CALLER", "REASON", "OUTCOME", "CALLS", "PROCESSES"].join("\t")
-  return [head, ...lines, `all\t\t\t\t${sum}`].join("\n")
+  return [head, ...lines, `all\t\t\t\t${total}`].join("\n")
 }
 
-/** What the boxes went through: when the first and the last wrote of it, what it was, and who they are. */
+/** Formats a row for each event, with the times of its first and its last log line. */
 export function formatTimeline(entries: readonly TimelineEntry[]): string {
   const names = new Map<number, string>(
     Object.entries(EVENTS).map(([name, {number}]) => [number, name])
   )
   const lines = entries.map(({fromS, toS, event, subject, boxes}) => {
-    const who =
-      boxes.length <= NAMED_BOXES
+    const boxText =
+      boxes.length <= MAX_LISTED_BOXES
         ? boxes.join(" ")
         : `${boxes.length} boxes, ${boxes[0]} first`
-    const what = names.get(event) ?? String(event)
-    return [fromS.toFixed(3), toS.toFixed(3), what, subject, who].join("\t")
+    const eventName = names.get(event) ?? String(event)
+    return [fromS.toFixed(3), toS.toFixed(3), eventName, subject, boxText].join("\t")
   })
   return [["FROM S", "TO S", "EVENT", "ABOUT", "BOXES"].join("\t"), ...lines].join("\n")
 }
--- a/src/bin/sedgectl.ts
+++ b/src/bin/sedgectl.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operators' command line: a client of the administration API. */
+/** Command line for operators: a client of the administration API. */
 import {readFileSync} from "node:fs"
 import {cac} from "cac"
 import {request} from "undici"
@@ -46,7 +46,7 @@
   body?: unknown
 ): Promise<Answer> {
   const key = flags.key ?? process.env["SEDGE_KEY"]
-  if (key === undefined) fail("give --key or set SEDGE_KEY", EXIT_USAGE)
+  if (key === undefined) fail("no operator's key: use --key or set SEDGE_KEY", EXIT_USAGE)
   const url = new URL(path, flags.admin)
   if (flags.dryRun) url.searchParams.set("dryRun", "true")
   if (flags.ifGeneration !== undefined) {
@@ -60,12 +60,12 @@
     signal: AbortSignal.timeout(TIMEOUT_MS)
   })
   const value = (await answer.body.json()) as Record<string, unknown>
-  if (answer.statusCode >= 400) refuse(value)
+  if (answer.statusCode >= 400) failWithProblem(value)
   return {status: answer.statusCode, body: value}
 }
 
-/** Prints a problem with all its findings and conflicts, and ends. */
-function refuse(problem: Record<string, unknown>): never {
+/** Prints a problem document with all findings and conflicts, and exits. */
+function failWithProblem(problem: Record<string, unknown>): never {
   console.error(`${String(problem["code"])}: ${String(problem["title"])}`)
   if (problem["detail"]) console.error(String(problem["detail"]))
   for (const {place, message} of (problem["findings"] ?? []) as Record<
@@ -108,12 +108,14 @@
   if (flags.watch && !flags.dryRun) await watchStatus(flags, Number(body["generation"]))
 }
 
-/** Waits until every process has a generation in force. */
+/** Waits until all processes have applied a generation. */
 async function watchStatus(flags: Flags, generation: number): Promise<void> {
   for (;;) {
     const {body} = await call({...flags, dryRun: false}, "GET", "/v1/status")
     const processes = body["processes"] as {process: string; generation?: number}[]
-    const waiting = processes.filter(({generation: has}) => (has ?? 0) < generation)
+    const waiting = processes.filter(
+      ({generation: applied}) => (applied ?? 0) < generation
+    )
     if (waiting.length === 0) {
       console.log(`in force on ${processes.length} processes`)
       return
@@ -128,7 +130,7 @@
 
 const cli = cac("sedgectl")
 cli.option("--admin <url>", "Administration API", {default: "http://127.0.0.1:7000"})
-cli.option("--key <key>", "Operator's key; else SEDGE_KEY")
+cli.option("--key <key>", "Operator's key (default: $SEDGE_KEY)")
 cli.option("--json", "Print JSON")
 
 cli
@@ -153,7 +155,7 @@
   .option("--dry-run", "Check only")
   .option("--watch", "Wait until it is in force everywhere")
   .option("--if-generation <n>", "Only if the record was last changed in this generation")
-  .option("--operation <id>", "Operation id, to send an unknown change again")
+  .option("--operation <id>", "Operation id, to retry a change with an unknown outcome")
   .action(async (kind: string, id: string, file: string, flags: Flags) => {
     const answer = await call(flags, "PUT", recordPath(kind, id), readDocument(file))
     await showAccepted(flags, answer)
@@ -163,7 +165,7 @@
   .option("--dry-run", "Check only")
   .option("--watch", "Wait until it is in force everywhere")
   .option("--if-generation <n>", "Only if the record was last changed in this generation")
-  .option("--operation <id>", "Operation id, to send an unknown change again")
+  .option("--operation <id>", "Operation id, to retry a change with an unknown outcome")
   .action(async (kind: string, id: string, flags: Flags) => {
     await showAccepted(flags, await call(flags, "DELETE", recordPath(kind, id)))
   })
@@ -201,7 +203,7 @@
     print(flags, body, () => formatDifference(body))
   })
 cli
-  .command("operation <id>", "Settle an operation")
+  .command("operation <id>", "Show whether an operation was accepted")
   .action(async (id: string, flags: Flags) => {
     const {body} = await call(flags, "GET", `/v1/operations/${encodeURIComponent(id)}`)
     print(flags, body, () => `accepted in generation ${String(body["generation"])}`)
@@ -213,21 +215,21 @@
     print(flags, body, () => formatStatus(body))
   })
 cli
-  .command("explain <request>", "Tell from logs what became of a routed request, and why")
+  .command("explain <request>", "Explain from logs how a routed request was handled")
   .option("--logs <place>", "A file, a folder of files, or - for standard input", {
     default: "-"
   })
   .action((request: string, flags: Flags & {readonly logs: string}) => {
     const explanation = explainRequest(readLogs(flags.logs), request)
-    if (!explanation) fail(`no line names the request ${request}`, EXIT_REFUSED)
+    if (!explanation) fail(`no log line contains the request ${request}`, EXIT_REFUSED)
     print(flags, explanation, () => formatExplanation(explanation))
   })
 cli
-  .command("losses", "Count from logs what became of routed requests, and why")
+  .command("losses", "Count from logs the outcomes of routed requests")
   .option("--logs <place>", "A file, a folder of files, or - for standard input", {
     default: "-"
   })
-  .option("--span <seconds>", "Part the table by spans of time; 0: one span", {
+  .option("--span <seconds>", "Length of the time spans of the table; 0 means one span", {
     default: 0
   })
   .action((flags: Flags & {readonly logs: string; readonly span: number}) => {
@@ -237,12 +239,12 @@
 cli
   .command(
     "calls",
-    "Sum from logs who called the key-value service, why, and how it ended"
+    "Count from logs calls to the key-value service by caller, reason and outcome"
   )
   .option("--logs <place>", "A file, a folder of files, or - for standard input", {
     default: "-"
   })
-  .option("--span <seconds>", "Part the table by spans of time; 0: one span", {
+  .option("--span <seconds>", "Length of the time spans of the table; 0 means one span", {
     default: 0
   })
   .action((flags: Flags & {readonly logs: string; readonly span: number}) => {
@@ -250,7 +252,7 @@
     print(flags, {rows}, () => formatStoreCalls(rows))
   })
 cli
-  .command("timeline", "Tell from logs what the boxes went through, in order")
+  .command("timeline", "Show from logs the events of a deployment in order")
   .option("--logs <place>", "A file, a folder of files, or - for standard input", {
     default: "-"
   })
--- a/src/plugins/policies.ts
+++ b/src/plugins/policies.ts
@@ -1,4 +1,4 @@
-/** The built-in policy programs, and the lookup of the one in force. */
+/** The built-in policy programs, and the lookup of the active policy. */
 import {findRecord} from "../core/configuration.js"
 import type {EngineView, Policy, RequestView} from "../core/policy.js"
 import type {Finding} from "../errors.js"
@@ -7,7 +7,6 @@
 import {createRulePolicy, findColdest} from "./rule-policy.js"
 import {compileRules} from "./rules.js"
 
-/** Parameters of a policy, by name. */
 export type PolicyParameters = Readonly<Record<string, number>>
 
 type PolicyFactory = (parameters: PolicyParameters) => Policy
@@ -18,31 +17,37 @@
   overnight: 30_000
 }
 
-/** The part of a batch by which an engine may be fuller and still go first for its cache. */
+/**
+ * Fraction of the batch by which an engine may be fuller and still rank first, if it has
+ * the request's prefix cached.
+ */
 const PREFIX_BONUS = 0.15
 
-/** Waiting requests, as a part of an engine's batch, that justify one more copy. */
-const COPY_PART = 0.25
+/** Waiting requests that justify one more copy, as a fraction of an engine's batch. */
+const COPY_FRACTION = 0.25
 
-/** The program whose decisions are operators' expressions. */
+/** The program that evaluates operators' rules. */
 const RULES_PROGRAM = "rules"
 
-/** The record that names the policy in force. */
+/** Id of the record that names the active policy. */
 export const ACTIVATION_ID = "active"
 
-/** Programs by name. */
 export const POLICY_PROGRAMS: Readonly<Record<string, PolicyFactory>> = {
   "warm-first": warmFirst,
   "least-loaded-lru": leastLoadedLru,
   "sticky-lru": stickyLru
 }
 
-/** Keeps the adapters in demand: victims go by decayed demand, so a cold scan displaces no hot one. */
+/**
+ * Evicts adapters with the lowest popularity per copy first. Popularity is a decayed
+ * request count, so single requests for many rare adapters do not evict popular ones.
+ */
 function warmFirst(parameters: PolicyParameters): Policy {
   return {
     name: "warm-first",
-    rankServing: engines => byLoad(engines, parameters["prefixBonus"] ?? PREFIX_BONUS),
-    rankLoading: engines => rankByRoom(engines),
+    rankServing: engines =>
+      rankByLoad(engines, parameters["prefixBonus"] ?? PREFIX_BONUS),
+    rankLoading: engines => rankByFreeSlots(engines),
     rankVictims: engine =>
       [...engine.models]
         .sort(
@@ -50,53 +55,53 @@
             a.heat / a.copies - b.heat / b.copies || a.lastUsed - b.lastUsed
         )
         .map(([model]) => model),
-    ...commonOf(parameters)
+    ...createCommonDecisions(parameters)
   }
 }
 
-/** Baseline: least loaded engine, least recently used adapter goes. */
+/** Baseline: ranks engines by load, and evicts the least recently used adapter. */
 function leastLoadedLru(parameters: PolicyParameters): Policy {
   return {
     name: "least-loaded-lru",
-    rankServing: engines => byLoad(engines),
-    rankLoading: engines => byLoad(engines),
-    rankVictims: leastRecentlyUsed,
-    ...commonOf(parameters)
+    rankServing: engines => rankByLoad(engines),
+    rankLoading: engines => rankByLoad(engines),
+    rankVictims: rankLeastRecentlyUsed,
+    ...createCommonDecisions(parameters)
   }
 }
 
-/** Baseline: an adapter has one home by rendezvous hashing. */
+/** Baseline: each adapter is loaded on one engine, chosen by rendezvous hashing. */
 function stickyLru(parameters: PolicyParameters): Policy {
-  const byHome = (engines: readonly EngineView[], {model}: RequestView) =>
+  const rankByHash = (engines: readonly EngineView[], {model}: RequestView) =>
     rankMembers(
       model,
       engines.map(engine => engine.id)
     )
   return {
     name: "sticky-lru",
-    rankServing: byHome,
-    rankLoading: (engines, request) => byHome(engines, request).slice(0, 1),
-    rankVictims: leastRecentlyUsed,
-    ...commonOf(parameters)
+    rankServing: rankByHash,
+    rankLoading: (engines, request) => rankByHash(engines, request).slice(0, 1),
+    rankVictims: rankLeastRecentlyUsed,
+    ...createCommonDecisions(parameters)
   }
 }
 
-/** What decides where the policy in force fails, and where none is. */
+/** Fallback if there is no active policy or it fails. */
 export const BUILT_IN_POLICY = warmFirst({})
 
-const known = new WeakMap<PolicyRecord, Policy>()
+const policyByRecord = new WeakMap<PolicyRecord, Policy>()
 
-/** The policy that the configuration has in force, named by its record and generation. */
+/** Returns the active policy. Its name is the id and generation of its record. */
 export function findPolicy(config: Configuration): Policy {
   const activation = findRecord(config, "activation", ACTIVATION_ID)
   const id = activation?.value.policy
   const record = id === undefined ? undefined : findRecord(config, "policy", id)
   if (!record) return BUILT_IN_POLICY
-  const policy = known.get(record.value) ?? {
+  const policy = policyByRecord.get(record.value) ?? {
     ...createPolicy(record.value),
     name: `${id}@${record.generation}`
   }
-  known.set(record.value, policy)
+  policyByRecord.set(record.value, policy)
   return policy
 }
 
@@ -106,50 +111,54 @@
   return (POLICY_PROGRAMS[program] ?? warmFirst)(parameters ?? {})
 }
 
-/** All that is wrong with a policy; places are below the record's value. */
+/** Returns all faults of a policy. Places are relative to the value of the record. */
 export function checkPolicy({program, rules}: PolicyRecord): Finding[] {
   if (program === RULES_PROGRAM) {
-    if (!rules) return [{place: "/rules", message: "is needed by this program"}]
+    if (!rules)
+      return [{place: "/rules", message: `is required by the program ${RULES_PROGRAM}`}]
     const {findings} = compileRules(rules)
     return findings.map(({place, message}) => ({place: `/rules${place}`, message}))
   }
-  if (rules) return [{place: "/rules", message: `is for the program ${RULES_PROGRAM}`}]
+  if (rules)
+    return [{place: "/rules", message: `is only for the program ${RULES_PROGRAM}`}]
   if (program in POLICY_PROGRAMS) return []
-  return [{place: "/program", message: `no program ${program}`}]
+  return [{place: "/program", message: `there is no program ${program}`}]
 }
 
-function commonOf(
+function createCommonDecisions(
   parameters: PolicyParameters
 ): Pick<Policy, "slackMs" | "wantsCopy" | "limit" | "reservedLoads"> {
-  const part = parameters["copyPart"] ?? COPY_PART
+  const fraction = parameters["copyPart"] ?? COPY_FRACTION
   return {
-    slackMs: slackFrom(parameters),
-    wantsCopy: ({waiting, maxBatch}) => waiting >= maxBatch * part,
+    slackMs: createSlack(parameters),
+    wantsCopy: ({waiting, maxBatch}) => waiting >= maxBatch * fraction,
     limit: () => Infinity,
     reservedLoads: parameters["reservedLoads"] ? 1 : 0
   }
 }
 
-function slackFrom(parameters: PolicyParameters): (requestClass: RequestClass) => number {
+function createSlack(
+  parameters: PolicyParameters
+): (requestClass: RequestClass) => number {
   return requestClass =>
     parameters[`${requestClass}SlackMs`] ?? DEFAULT_SLACK_MS[requestClass]
 }
 
-function byLoad(engines: readonly EngineView[], prefixBonus = 0): string[] {
-  const rank = ({running, foreign, maxBatch, cachesPrefix}: EngineView) =>
+function rankByLoad(engines: readonly EngineView[], prefixBonus = 0): string[] {
+  const score = ({running, foreign, maxBatch, cachesPrefix}: EngineView) =>
     (running + foreign) / maxBatch - (cachesPrefix ? prefixBonus : 0)
-  return [...engines].sort((a, b) => rank(a) - rank(b)).map(engine => engine.id)
+  return [...engines].sort((a, b) => score(a) - score(b)).map(engine => engine.id)
 }
 
-function rankByRoom(engines: readonly EngineView[]): string[] {
-  const rank = (engine: EngineView) =>
+function rankByFreeSlots(engines: readonly EngineView[]): string[] {
+  const score = (engine: EngineView) =>
     engine.freeSlots > 0 ? 0 : findColdest(engine.models)
   return [...engines]
-    .sort((a, b) => rank(a) - rank(b) || a.running - b.running)
+    .sort((a, b) => score(a) - score(b) || a.running - b.running)
     .map(engine => engine.id)
 }
 
-function leastRecentlyUsed(engine: EngineView): string[] {
+function rankLeastRecentlyUsed(engine: EngineView): string[] {
   return [...engine.models]
     .sort(([, a], [, b]) => a.lastUsed - b.lastUsed)
     .map(([model]) => model)
--- a/src/plugins/rule-policy.ts
+++ b/src/plugins/rule-policy.ts
@@ -1,9 +1,12 @@
-/** The policy program `rules`: decisions by operators' expressions, the rest by the built-in one. */
+/** The policy program `rules`: evaluates operators' rules. */
 import type {EngineView, ModelView, Policy} from "../core/policy.js"
 import type {RuleTexts} from "../types/config.js"
 import {compileRules, type Rule} from "./rules.js"
 
-/** A policy of rules; rules that do not compile are left to `builtIn`, as the check refuses them. */
+/**
+ * Creates a policy of rules. `builtIn` decides if a rule is missing or does not compile.
+ * `checkPolicy` rejects rules that do not compile.
+ */
 export function createRulePolicy(texts: RuleTexts, builtIn: Policy): Policy {
   const {serve, load, evict, copy, slackMs, limit} = compileRules(texts).rules
   return {
@@ -34,24 +37,24 @@
   engines: readonly EngineView[],
   request: object
 ): string[] {
-  return rank(engines, engine => rule({engine: showEngine(engine), request})).map(
+  return rank(engines, engine => rule({engine: toEngineValues(engine), request})).map(
     ({id}) => id
   )
 }
 
 function rankAdapters(rule: Rule, engine: EngineView, now: number): string[] {
-  const shown = showEngine(engine)
+  const engineValues = toEngineValues(engine)
   const score = ([name, model]: [string, ModelView]) =>
-    rule({engine: shown, adapter: showAdapter(name, model, now)})
+    rule({engine: engineValues, adapter: toAdapterValues(name, model, now)})
   return rank([...engine.models], score).map(([name]) => name)
 }
 
-function showAdapter(name: string, model: ModelView, now: number): object {
+function toAdapterValues(name: string, model: ModelView, now: number): object {
   const {running, waiting, heat, copies, lastUsed} = model
   return {name, running, waiting, heat, copies, idleMs: now - lastUsed}
 }
 
-/** Each item is scored once; lower goes first. */
+/** Sorts by score, lowest first. Scores each item once. */
 function rank<T>(items: readonly T[], score: (item: T) => number | boolean): T[] {
   return items
     .map(item => ({item, score: Number(score(item))}))
@@ -59,8 +62,8 @@
     .map(({item}) => item)
 }
 
-/** Field by field: to leave one out by a rest pattern costs more than the rule itself. */
-function showEngine(engine: EngineView): object {
+/** Copies each field, because a rest pattern is slower than the evaluation of a rule. */
+function toEngineValues(engine: EngineView): object {
   const {id, dataCentre, slots, maxBatch, running, foreign} = engine
   const {freeSlots, cachesPrefix, models} = engine
   const coldest = findColdest(models)
@@ -77,10 +80,10 @@
   }
 }
 
-/** The least heat per copy among an engine's adapters; 0 without any. */
+/** Returns the lowest popularity per copy of an engine's adapters. 0 if it has none. */
 export function findColdest(models: EngineView["models"]): number {
   if (models.size === 0) return 0
-  let least = Infinity
-  for (const {heat, copies} of models.values()) least = Math.min(least, heat / copies)
-  return least
+  let lowest = Infinity
+  for (const {heat, copies} of models.values()) lowest = Math.min(lowest, heat / copies)
+  return lowest
 }
--- a/src/plugins/rules.ts
+++ b/src/plugins/rules.ts
@@ -1,16 +1,16 @@
 /**
- * Policies as rules: one expression of the Common Expression Language for each decision. What an
- * expression may use is so little that its time is bounded by its length: no lists, no loops, no
- * regular expressions. See docs/operators/policies.md.
+ * Compiles policy rules: one expression of the Common Expression Language (CEL) for each
+ * decision. Lists, loops and regular expressions are not allowed, so the length of an
+ * expression bounds its run time. See docs/operators/policies.md.
  */
 import {type ASTNode, Environment, type ParseResult} from "@marcbachmann/cel-js"
 import type {Finding} from "../errors.js"
 import {RULE_NAMES, type RuleName, type RuleTexts} from "../types/config.js"
 
-/** Values by variable, as declared in `VARIABLES`. */
+/** Values by variable, as declared in `SIGNATURES`. */
 type Values = Readonly<Record<string, unknown>>
 
-/** Evaluates to a finite number or a truth value, or throws. */
+/** Throws a `RangeError` if the result has the wrong type or is NaN. */
 export type Rule = (values: Values) => number | boolean
 
 export type Rules = Readonly<Partial<Record<RuleName, Rule>>>
@@ -56,8 +56,8 @@
 }
 const DEMAND = {waiting: "double", copies: "double", heat: "double", maxBatch: "double"}
 
-/** What each rule sees, and what it answers. */
-const SHAPES: Readonly<
+/** Variables and result type of each rule. */
+const SIGNATURES: Readonly<
   Record<RuleName, {variables: Readonly<Record<string, object>>; type: string}>
 > = {
   serve: {variables: {engine: ENGINE, request: REQUEST}, type: "double"},
@@ -72,7 +72,7 @@
 const METHODS: ReadonlySet<string> = new Set(["startsWith", "endsWith", "contains"])
 const FORBIDDEN_OPERATORS: ReadonlySet<string> = new Set(["list", "map", "[]", "[?]"])
 
-/** Compiles all rules and collects what is wrong with any. */
+/** Compiles all rules and collects the faults of all. */
 export function compileRules(texts: RuleTexts): CompiledRules {
   const findings: Finding[] = []
   const rules: Partial<Record<RuleName, Rule>> = {}
@@ -88,30 +88,31 @@
   text: string,
   findings: Finding[]
 ): Rule | undefined {
-  const say = (at: number, message: string) =>
-    void findings.push({place: `/${name}:${locate(text, at)}`, message})
-  const parsed = parse(name, text, say)
+  const report = (at: number, message: string) =>
+    void findings.push({place: `/${name}:${formatPosition(text, at)}`, message})
+  const parsed = parse(name, text, report)
   if (!parsed) return undefined
   const before = findings.length
-  walk(parsed.ast, say)
+  checkNodes(parsed.ast, report)
   const checked = parsed.check()
-  if (checked.error) say(startOf(checked.error), summaryOf(checked.error))
-  else if (!isAnswer(checked.type, SHAPES[name].type))
-    say(0, `answers ${checked.type}, not ${SHAPES[name].type}`)
+  if (checked.error) report(startOf(checked.error), summaryOf(checked.error))
+  else if (!isResultType(checked.type, SIGNATURES[name].type))
+    report(0, `answers ${checked.type}, not ${SIGNATURES[name].type}`)
   if (findings.length > before) return undefined
-  // Checked with the fields' types, evaluated without: converting to them is most of the cost.
-  return evaluator(name, createEnvironment(name, "map").parse(text))
+  // Types of fields are only used for the check, because converting values to them would
+  // take most of the time of an evaluation.
+  return createRule(name, createEnvironment(name, "map").parse(text))
 }
 
 function parse(
   name: RuleName,
   text: string,
-  say: (at: number, message: string) => void
+  report: (at: number, message: string) => void
 ): ParseResult | undefined {
   try {
     return createEnvironment(name, "typed").parse(text)
   } catch (cause) {
-    say(startOf(cause), summaryOf(cause))
+    report(startOf(cause), summaryOf(cause))
     return undefined
   }
 }
@@ -120,23 +121,24 @@
   const environment = new Environment({limits: LIMITS})
   environment.registerFunction("min(double, double): double", Math.min)
   environment.registerFunction("max(double, double): double", Math.max)
-  for (const [variable, schema] of Object.entries(SHAPES[name].variables)) {
+  for (const [variable, schema] of Object.entries(SIGNATURES[name].variables)) {
     if (variables === "map") environment.registerVariable(variable, "map")
     else environment.registerVariable({name: variable, schema: schema as never})
   }
   return environment
 }
 
-/** Only what takes a bounded time passes. */
-function walk(node: ASTNode, say: (at: number, message: string) => void): void {
-  if (FORBIDDEN_OPERATORS.has(node.op)) say(node.start, `${node.op} is not for policies`)
+/** Reports each operator, function and method whose time is not bounded. */
+function checkNodes(node: ASTNode, report: (at: number, message: string) => void): void {
+  if (FORBIDDEN_OPERATORS.has(node.op))
+    report(node.start, `${node.op} is not allowed in policy rules`)
   if (node.op === "call" && !FUNCTIONS.has(node.args[0])) {
-    say(node.start, `${node.args[0]} is not for policies`)
+    report(node.start, `${node.args[0]} is not allowed in policy rules`)
   }
   if (node.op === "rcall" && !METHODS.has(node.args[0])) {
-    say(node.start, `${node.args[0]} is not for policies`)
+    report(node.start, `${node.args[0]} is not allowed in policy rules`)
   }
-  for (const child of childrenOf(node.args)) walk(child, say)
+  for (const child of childrenOf(node.args)) checkNodes(child, report)
 }
 
 function childrenOf(args: unknown): ASTNode[] {
@@ -145,39 +147,39 @@
   return isNode ? [args as ASTNode] : []
 }
 
-function evaluator(name: RuleName, parsed: ParseResult): Rule {
-  const wanted = SHAPES[name].type === "bool" ? "boolean" : "number"
+function createRule(name: RuleName, parsed: ParseResult): Rule {
+  const expected = SIGNATURES[name].type === "bool" ? "boolean" : "number"
   return values => {
-    const answer: unknown = parsed(values as Record<string, unknown>)
-    const value = typeof answer === "bigint" ? Number(answer) : answer
-    if (typeof value !== wanted || Number.isNaN(value)) {
-      throw new RangeError(`${name} answered ${String(value)}`)
+    const result: unknown = parsed(values as Record<string, unknown>)
+    const value = typeof result === "bigint" ? Number(result) : result
+    if (typeof value !== expected || Number.isNaN(value)) {
+      throw new RangeError(`rule ${name} returned ${String(value)}, not a ${expected}`)
     }
     return value as number | boolean
   }
 }
 
-function isAnswer(type: string | undefined, wanted: string): boolean {
-  return type === wanted || (type === "int" && wanted === "double")
+function isResultType(type: string | undefined, expected: string): boolean {
+  return type === expected || (type === "int" && expected === "double")
 }
 
-interface CelProblem {
+interface CelError {
   readonly range?: {readonly start: number}
   readonly summary?: string
   readonly message: string
 }
 
 function startOf(cause: unknown): number {
-  return (cause as CelProblem).range?.start ?? 0
+  return (cause as CelError).range?.start ?? 0
 }
 
 function summaryOf(cause: unknown): string {
-  const {summary, message} = cause as CelProblem
+  const {summary, message} = cause as CelError
   return summary ?? message.split("\n")[0] ?? message
 }
 
-/** `LINE:COLUMN` of a position, both counted from 1. */
-function locate(text: string, at: number): string {
+/** Returns `LINE:COLUMN` of a position, both counted from 1. */
+function formatPosition(text: string, at: number): string {
   const lines = text.slice(0, at).split("\n")
   return `${lines.length}:${(lines.at(-1) ?? "").length + 1}`
 }
--- a/src/ports/fleet-ports.ts
+++ b/src/ports/fleet-ports.ts
@@ -84,7 +84,7 @@
 
 /**
  * Parsers of the entries that the platform stores in the key-value service. Others can
- * write there, too, so parsers throw `UnreadableEntry` if an entry is invalid for its key.
+ * write there, too. Parsers throw `UnreadableEntry` if an entry is invalid for its key.
  */
 export interface FleetRecords {
   readonly configKey: string
--- a/src/ports/ports.ts
+++ b/src/ports/ports.ts
@@ -43,11 +43,11 @@
 }
 
 /**
- * The platform's key-value service. Calls reject with `KvUnavailable` if they certainly had
- * no effect, and with `KvUnknown` if they may have had one.
+ * The platform's key-value service. Calls reject with `KvUnavailable` if they certainly
+ * had no effect, and with `KvUnknown` if they may have had one.
  */
 export interface KvStore {
-  /** `stale` allows a cheaper read that may be seconds old, if the service supports it. */
+  /** `stale` allows a cheaper read, possibly seconds old, if the service has one. */
   get(key: string, stale?: boolean): Promise<KvEntry | undefined>
   /** Lists the keys with the prefix, starting after the key `after`. */
   list(prefix: string, after?: string): Promise<KvPage>
@@ -63,8 +63,8 @@
   keepAlive(lease: string): Promise<boolean>
   revokeLease(lease: string): Promise<void>
   /**
-   * Waits in one call for changes after a position. Resolves at the end of the call to the
-   * position to continue from, and rejects if the service is in another era.
+   * Waits in one call for changes after a position. Resolves at the end of the call to
+   * the position to continue from, and rejects if the service is in another era.
    *
    * @param maxWaitMs - How long the call may wait, if the service supports it.
    */
--- a/src/utils/collections.ts
+++ b/src/utils/collections.ts
@@ -1,6 +1,6 @@
-/** Structural sharing for maps and sets: a change gives a new collection, the old one stays. */
+/** Immutable updates of maps and sets: a change returns a new collection. */
 
-/** A map equal to `map` but for `key`, which now holds `value`. */
+/** Returns a copy of `map` with `key` set to `value`. */
 export function withEntry<K, V>(
   map: ReadonlyMap<K, V>,
   key: K,
@@ -9,7 +9,7 @@
   return new Map(map).set(key, value)
 }
 
-/** A map equal to `map` without `key`; the same map when the key is absent. */
+/** Returns a copy of `map` without `key`, or `map` itself if it has no such key. */
 export function withoutEntry<K, V>(map: ReadonlyMap<K, V>, key: K): ReadonlyMap<K, V> {
   if (!map.has(key)) return map
   const next = new Map(map)
@@ -17,7 +17,7 @@
   return next
 }
 
-/** The entries of `map` for which `keep` holds; the same map when all do. */
+/** Returns the entries for which `keep` is true, or `map` itself if these are all. */
 export function filterEntries<K, V>(
   map: ReadonlyMap<K, V>,
   keep: (value: V, key: K) => boolean
@@ -29,7 +29,7 @@
   return next.size === map.size ? map : next
 }
 
-/** A set equal to `set` without `item`; the same set when it is absent. */
+/** Returns a copy of `set` without `item`, or `set` itself if it has no such item. */
 export function withoutItem<T>(set: ReadonlySet<T>, item: T): ReadonlySet<T> {
   if (!set.has(item)) return set
   const next = new Set(set)
@@ -37,7 +37,7 @@
   return next
 }
 
-/** Counts the values of an iterable for which `test` holds. */
+/** Counts the items for which `test` is true. */
 export function countWhere<T>(items: Iterable<T>, test: (item: T) => boolean): number {
   let count = 0
   for (const item of items) if (test(item)) count++
--- a/src/utils/fingerprint.ts
+++ b/src/utils/fingerprint.ts
@@ -1,21 +1,20 @@
-/** Tells requests that are the same from others, whatever their names. */
+/** Fingerprints of requests, to recognise equal requests with different ids. */
 import {createHash} from "node:crypto"
 
-/** What makes two requests the same. */
+/** Requests are equal if all of this is equal. */
 export interface RequestContent {
-  /** Whose request it is; empty: nobody's that is known. */
+  /** Empty if the caller is unknown. */
   readonly caller: string
   readonly method: string
   readonly host: string
-  /** With its query. */
+  /** Includes the query. */
   readonly path: string
   readonly body: Uint8Array | null
 }
 
-/** 96 bits: a caller who makes up bodies cannot make one that is taken for another's. */
+/** 96 bits, so that callers cannot construct a request with another's fingerprint. */
 const HEX_DIGITS = 24
 
-/** A digest that is alike for requests with the same content. */
 export function fingerprintRequest(content: RequestContent): string {
   const {caller, method, host, path, body} = content
   const hash = createHash("sha256")
--- a/src/utils/hash.ts
+++ b/src/utils/hash.ts
@@ -1,12 +1,12 @@
-/** Digests: callers' keys and idempotency keys are only ever kept as these. */
+/** Digests. Callers' API keys and idempotency keys are only kept in this form. */
 import {createHash, timingSafeEqual} from "node:crypto"
 
-/** Hex SHA-256 of `text`. */
+/** Returns the SHA-256 digest in hex. */
 export function sha256(text: string | Uint8Array): string {
   return createHash("sha256").update(text).digest("hex")
 }
 
-/** The first 32 hex digits of SHA-256: 128 bits, enough to tell keys apart. */
+/** Returns the first 128 bits of the SHA-256 digest, which suffice to identify keys. */
 export function shortHash(text: string | Uint8Array): string {
   return sha256(text).slice(0, 32)
 }
--- a/src/utils/promises.ts
+++ b/src/utils/promises.ts
@@ -1,11 +1,9 @@
-/** Small helpers for promises. */
-
-/** Resolves after so many milliseconds; at once for none. */
+/** Resolves after `ms` milliseconds; a negative time counts as 0. */
 export function pause(ms: number): Promise<undefined> {
   return new Promise(resolve => setTimeout(() => resolve(undefined), Math.max(0, ms)))
 }
 
-/** The first that succeeds; the first failure where none does. */
+/** Resolves to the first success. If all fail, rejects with the first attempt's error. */
 export async function firstOf<T>(attempts: readonly Promise<T>[]): Promise<T> {
   try {
     return await Promise.any(attempts)
@@ -14,17 +12,20 @@
   }
 }
 
-/** Asks once more where the first answer takes longer; the first success counts. */
-export function askAgainAfter<T>(ms: number, ask: () => Promise<T>): Promise<T> {
-  const first = ask()
-  const late = async (): Promise<T> => {
-    const answered = first.then(
+/**
+ * Sends a request, and a second one if the first takes longer than `ms`. Resolves to the
+ * first success.
+ */
+export function askAgainAfter<T>(ms: number, send: () => Promise<T>): Promise<T> {
+  const first = send()
+  const sendSecond = async (): Promise<T> => {
+    const settled = first.then(
       () => true,
       () => true
     )
-    // A failure is no reason to ask again at once: whoever asked decides.
-    if (await Promise.race([answered, pause(ms)])) return first
-    return ask()
+    // If the first request fails, the caller of this function decides about a retry.
+    if (await Promise.race([settled, pause(ms)])) return first
+    return send()
   }
-  return firstOf([first, late()])
+  return firstOf([first, sendSecond()])
 }
--- a/src/utils/random.ts
+++ b/src/utils/random.ts
@@ -1,4 +1,4 @@
-/** Seeded random numbers as values: a draw gives a number and the next generator. */
+/** Seeded random numbers without side effects: each draw returns the next generator. */
 import {
   type RandomGenerator,
   unsafeUniformIntDistribution,
@@ -7,17 +7,16 @@
 
 const STEPS = 0x1_0000_0000
 
-/** First draws that are thrown away: those of neighbouring seeds are alike. */
+/** First draws to discard, because those of neighbouring seeds are similar. */
 const WARM_UP_DRAWS = 32
 
-/** A generator from a seed. */
 export function createRandom(seed: number): RandomGenerator {
   const random = xoroshiro128plus(seed)
   for (let draw = 0; draw < WARM_UP_DRAWS; draw++) random.unsafeNext()
   return random
 }
 
-/** A number in [0, 1) and the next generator; the given one is left as it was. */
+/** Returns a number in [0, 1) and the next generator. Does not change `random`. */
 export function uniformFloat64(random: RandomGenerator): [number, RandomGenerator] {
   const next = random.clone()
   const value = unsafeUniformIntDistribution(0, STEPS - 1, next) / STEPS
--- a/src/utils/time-limit.ts
+++ b/src/utils/time-limit.ts
@@ -1,23 +1,22 @@
-/** Time limits of calls as abort signals. */
-
 export interface TimeLimit {
-  /** Aborts when the time is over, or when the parent does. */
+  /** Aborts after the time limit, or when the parent signal aborts. */
   readonly signal: AbortSignal
-  /** Whether the time was over. */
+  /** Whether the call exceeded the time limit. */
   readonly isOver: () => boolean
-  /** To be called when the call has ended. */
+  /** Must be called at the end of the call. */
   readonly clear: () => void
 }
 
 /**
- * Limits a call that may be aborted besides. Not by `AbortSignal.any` with `AbortSignal.timeout`:
- * node 20 may collect a signal that only such a combination refers to, and then it never aborts.
+ * Creates an abort signal with a time limit and an optional parent. Does not combine
+ * `AbortSignal.any` with `AbortSignal.timeout`, because Node 20 may garbage-collect a
+ * signal that is only referenced by the combination, which then never aborts.
  */
 export function limitTime(ms: number, parent?: AbortSignal): TimeLimit {
   const controller = new AbortController()
-  let over = false
+  let expired = false
   const timer = setTimeout(() => {
-    over = true
+    expired = true
     controller.abort(new DOMException(`no answer within ${ms} ms`, "TimeoutError"))
   }, ms)
   const abort = (): void => controller.abort(parent?.reason)
@@ -25,7 +24,7 @@
   parent?.addEventListener("abort", abort, {once: true})
   return {
     signal: controller.signal,
-    isOver: () => over,
+    isOver: () => expired,
     clear: () => {
       clearTimeout(timer)
       parent?.removeEventListener("abort", abort)
--- a/src/version.ts
+++ b/src/version.ts
@@ -1,2 +1,2 @@
-/** The version of this release, as package.json has it; a test compares the two. */
+/** The version of this release. A test compares it with package.json. */
 export const VERSION = "0.1.0"
