--- a/src/bin/sedgectl-tables.ts
+++ b/src/bin/sedgectl-tables.ts
@@ -62,7 +62,7 @@
   return [title, ...rows]
 }
 
-/** Formats a row for each route and time span, and a column for each seen outcome. */
+/** Formats a row for each route and time span, and a column for each outcome found. */
 export function formatLosses(rows: readonly LossRow[]): string {
   const occurred = OUTCOMES.filter(outcome => rows.some(({counts}) => counts[outcome]))
   const lines = rows.map(({fromS, route, total, counts}) =>
--- a/src/plugins/policies.ts
+++ b/src/plugins/policies.ts
@@ -114,8 +114,7 @@
 /** Returns all faults of a policy. Places are relative to the value of the record. */
 export function checkPolicy({program, rules}: PolicyRecord): Finding[] {
   if (program === RULES_PROGRAM) {
-    if (!rules)
-      return [{place: "/rules", message: `is required by the program ${RULES_PROGRAM}`}]
+    if (!rules) return [{place: "/rules", message: "is required by this program"}]
     const {findings} = compileRules(rules)
     return findings.map(({place, message}) => ({place: `/rules${place}`, message}))
   }
--- a/src/plugins/rules.ts
+++ b/src/plugins/rules.ts
@@ -153,7 +153,7 @@
     const result: unknown = parsed(values as Record<string, unknown>)
     const value = typeof result === "bigint" ? Number(result) : result
     if (typeof value !== expected || Number.isNaN(value)) {
-      throw new RangeError(`rule ${name} returned ${String(value)}, not a ${expected}`)
+      throw new RangeError(`rule ${name} returned ${String(value)}`)
     }
     return value as number | boolean
   }
