--- a/test/dialect.test.ts
+++ b/test/dialect.test.ts
@@ -1,4 +1,4 @@
-/** The headers of a request on its way to a backend server, with whatever a caller sent. */
+/** Reads and writes the platform's headers, including forged ones of callers. */
 import t from "tap"
 import {platformDialect} from "../platform/dialect.js"
 import {HEADER} from "../platform/words.js"
@@ -15,7 +15,7 @@
   organisation: undefined
 }
 
-/** Headers by which a caller would steer what only boxes decide. */
+/** Headers that only boxes may set. */
 const RESERVED = [
   HEADER.deadline,
   HEADER.target,
@@ -32,7 +32,7 @@
 
 const PASSED = [HEADER.request, HEADER.model, HEADER.usage, HEADER.prompt, "x-other"]
 
-function draw(seed: number): (limit: number) => number {
+function createDraw(seed: number): (limit: number) => number {
   let state = createRandom(seed)
   return limit => {
     const [value, next] = uniformFloat64(state)
@@ -42,12 +42,12 @@
 }
 
 function mixCase(name: string, below: (limit: number) => number): string {
-  return [...name].map(sign => (below(2) === 0 ? sign.toUpperCase() : sign)).join("")
+  return [...name].map(char => (below(2) === 0 ? char.toUpperCase() : char)).join("")
 }
 
-t.test("what a caller sets of a box's own headers reaches no server", async t => {
+t.test("headers that only boxes may set are not forwarded from callers", async t => {
   for (let seed = 1; seed <= ROUNDS; seed++) {
-    const below = draw(seed)
+    const below = createDraw(seed)
     const sent: string[] = []
     for (let i = below(12) + 1; i > 0; i--) {
       const names = below(2) === 0 ? RESERVED : PASSED
@@ -63,15 +63,18 @@
   }
 })
 
-t.test("each of a box's own headers is there once, with the box's value", async t => {
-  const sent = RESERVED.flatMap(name => [name, "forged", name.toUpperCase(), "forged"])
-  const written = platformDialect.writeRequest(sent, FACTS)
-  const names = written.filter((_, i) => i % 2 === 0).map(name => name.toLowerCase())
-  t.same(
-    names.sort(),
-    [HEADER.deadline, HEADER.expectedVersion, HEADER.priority, HEADER.target].sort()
-  )
-})
+t.test(
+  "headers that only boxes may set are written once, with the box's value",
+  async t => {
+    const sent = RESERVED.flatMap(name => [name, "forged", name.toUpperCase(), "forged"])
+    const written = platformDialect.writeRequest(sent, FACTS)
+    const names = written.filter((_, i) => i % 2 === 0).map(name => name.toLowerCase())
+    t.same(
+      names.sort(),
+      [HEADER.deadline, HEADER.expectedVersion, HEADER.priority, HEADER.target].sort()
+    )
+  }
+)
 
 t.test("all parts of a prompt but the last are shared", async t => {
   const prefixOf = (text: string) =>
@@ -82,42 +85,46 @@
   t.same(
     prefixOf("x,y:z,q:7,w:1"),
     {key: "x,y:z,q:7", tokens: 7},
-    "odd parts are no work"
+    "a part without a valid count adds no tokens"
   )
 })
 
-const SAYS_NOTHING = {
+const NO_NOTICE = {
   leaving: false,
   restMs: undefined,
   perSecond: undefined,
   unreadable: undefined
 }
 
-t.test("a worker's word on itself is read from its own answers alone", async t => {
+t.test("a worker's notice is only read from its own answers", async t => {
   const read = (status: number, headers: Record<string, string>): unknown =>
     platformDialect.readNotice(status, new Map(Object.entries(headers)))
-  t.same(read(200, {"server-leaving": "1"}), {...SAYS_NOTHING, leaving: true})
-  t.same(read(200, {"server-leaving": "0"}), SAYS_NOTHING)
-  t.same(read(200, {"server-leaving": "1, 1"}), SAYS_NOTHING)
-  t.equal(read(421, {"server-leaving": "1"}), undefined, "it is another's answer")
-  t.equal(read(421, {"server-limit": "1"}), undefined, "it is another's answer")
-  const rest = (text: string): unknown => read(503, {"retry-after": text})
-  t.same(rest("2.5"), {...SAYS_NOTHING, restMs: 2_500})
-  t.match(rest("99999999999"), {restMs: 99_999_999_999_000}, "it is bounded later")
-  t.same(read(200, {"retry-after": "2"}), SAYS_NOTHING, "only a refusal asks for rest")
+  t.same(read(200, {"server-leaving": "1"}), {...NO_NOTICE, leaving: true})
+  t.same(read(200, {"server-leaving": "0"}), NO_NOTICE)
+  t.same(read(200, {"server-leaving": "1, 1"}), NO_NOTICE)
+  t.equal(read(421, {"server-leaving": "1"}), undefined, "another worker answered")
+  t.equal(read(421, {"server-limit": "1"}), undefined, "another worker answered")
+  const backoff = (text: string): unknown => read(503, {"retry-after": text})
+  t.same(backoff("2.5"), {...NO_NOTICE, restMs: 2_500})
+  t.match(
+    backoff("99999999999"),
+    {restMs: 99_999_999_999_000},
+    "the limit is applied later"
+  )
+  t.same(read(200, {"retry-after": "2"}), NO_NOTICE, "only a refusal requests a back-off")
   for (const text of ["-1", "soon", "1e3", "", "Thu, 03 Dec 2026 10:00:00 GMT"]) {
-    t.same(rest(text), {...SAYS_NOTHING, unreadable: {of: "rest", text}}, text)
+    t.same(backoff(text), {...NO_NOTICE, unreadable: {of: "rest", text}}, text)
   }
 })
 
-t.test("a rate is a decimal number; of several the least counts", async t => {
+t.test("a rate is a decimal number, and the smallest of several counts", async t => {
   const rate = (text: string): unknown =>
     platformDialect.readNotice(200, new Map([["server-limit", text]]))
-  t.same(rate("1.2"), {...SAYS_NOTHING, perSecond: 1.2})
-  t.same(rate("0"), {...SAYS_NOTHING, perSecond: 0})
-  t.same(rate("400, 0.5"), {...SAYS_NOTHING, perSecond: 0.5})
+  t.same(rate("1.2"), {...NO_NOTICE, perSecond: 1.2})
+  t.same(rate("0"), {...NO_NOTICE, perSecond: 0})
+  t.same(rate("400, 0.5"), {...NO_NOTICE, perSecond: 0.5})
   for (const text of ["-1", "NaN", "1e9", "", "1,", "Infinity", "99999999"]) {
-    t.same(rate(text), {...SAYS_NOTHING, unreadable: {of: "rate", text}}, text)
+    t.same(rate(text), {...NO_NOTICE, unreadable: {of: "rate", text}}, text)
   }
   const both = new Map([
     ["server-limit", "some"],
@@ -126,7 +133,7 @@
   t.match(
     platformDialect.readNotice(503, both),
     {unreadable: {of: "rate"}},
-    "a rate that cannot be read ends none"
+    "an invalid rate is reported before an invalid back-off"
   )
   const long = rate("9".repeat(400)) as {unreadable: {text: string}}
   t.equal(long.unreadable.text.length, 40)
--- a/test/operators.test.ts
+++ b/test/operators.test.ts
@@ -1,4 +1,4 @@
-/** A new operator's way with sedgectl: from an empty deployment to a served and a retired adapter. */
+/** An operator adds, serves and retires an adapter in an empty deployment. */
 import {mkdtempSync, writeFileSync} from "node:fs"
 import {tmpdir} from "node:os"
 import {join} from "node:path"
@@ -9,7 +9,7 @@
 import {Deployment, OPERATOR_KEY} from "./support/deployment.js"
 import {until} from "./support/wait.js"
 
-t.test("an operator follows the pages with sedgectl", async t => {
+t.test("an operator adds, serves and retires an adapter with sedgectl", async t => {
   const deployment = await Deployment.start({adapters: 0})
   t.teardown(() => deployment.stop())
   const [box] = deployment.boxes
--- a/test/platform-fuzz.test.ts
+++ b/test/platform-fuzz.test.ts
@@ -1,4 +1,7 @@
-/** Hostile input on every port of a routed box, from seeds: no crash, no foreign answer, still serving. */
+/**
+ * Random invalid input on all ports of a routed box, from fixed seeds. The box must not
+ * crash, must not mix up answers, and must continue to serve.
+ */
 import {connect} from "node:net"
 import {Packr} from "msgpackr"
 import t from "tap"
@@ -11,7 +14,6 @@
 const CLOSE_MS = 300
 const packr = new Packr({structuredClone: false})
 
-/** Draws from one seed. */
 class Draw {
   private state_
 
@@ -29,8 +31,8 @@
     return items[this.below(items.length)] as T
   }
 
-  bytes(most: number): Buffer {
-    return Buffer.from(Array.from({length: this.below(most)}, () => this.below(256)))
+  bytes(limit: number): Buffer {
+    return Buffer.from(Array.from({length: this.below(limit)}, () => this.below(256)))
   }
 }
 
@@ -38,8 +40,8 @@
   "POST /stream/x HTTP/1.1\r\nHost: callers.example\r\nX-Request-Id: f\r\n" +
   "X-Model-Id: base/a1\r\nX-Token-Usage: 10,10\r\nContent-Length: 2\r\n\r\nhi"
 
-/** A request with some of its bytes changed, left out or doubled. */
-function spoil(draw: Draw): Buffer {
+/** Returns a request with some bytes changed, removed or repeated. */
+function createBrokenRequest(draw: Draw): Buffer {
   const bytes = [...Buffer.from(REQUEST)]
   for (let i = draw.below(6); i >= 0; i--) {
     const at = draw.below(bytes.length)
@@ -63,8 +65,8 @@
   })
 }
 
-/** Values that a peer of another version, or a hostile one, may send. */
-function frame(draw: Draw): Buffer {
+/** Returns a frame that a peer of another version or an attacker may send. */
+function createBadFrame(draw: Draw): Buffer {
   const values = [null, 7, "x", [], {}, {t: 5}, {t: "hello"}, {t: "need"}, {t: "use"}]
   const more = [{t: "missing"}, {t: "drop"}, {t: "ask-config"}, {t: "need", need: null}]
   const last = [
@@ -79,7 +81,7 @@
   return new Promise(resolve => {
     const socket = new WebSocket(`ws://${address}`)
     socket.on("open", () => {
-      for (const each of frames) socket.send(each)
+      for (const frame of frames) socket.send(frame)
     })
     socket.on("error", () => undefined)
     socket.on("close", () => resolve())
@@ -92,7 +94,7 @@
   return (await bed.call(box, "/stream/x", {adapter: "a1"})).status === 200
 }
 
-t.test("bytes that are no request end no box and reach no one else", async t => {
+t.test("invalid requests crash no box and affect no other caller", async t => {
   const bed = await PlatformBed.start({boxes: 1, engines: 1, plain: 1})
   t.teardown(() => bed.stop())
   const [box] = bed.boxes
@@ -100,7 +102,10 @@
   const draw = new Draw(11)
   const answers = await Promise.all(
     Array.from({length: ROUNDS}, () =>
-      sendRaw(box.callers, draw.below(3) === 0 ? draw.bytes(300) : spoil(draw))
+      sendRaw(
+        box.callers,
+        draw.below(3) === 0 ? draw.bytes(300) : createBrokenRequest(draw)
+      )
     )
   )
   for (const answer of answers) {
@@ -113,7 +118,7 @@
   t.same(bed.judge.violations, [])
 })
 
-t.test("frames that are no message end no box", async t => {
+t.test("invalid frames crash no box", async t => {
   const bed = await PlatformBed.start({boxes: 2, engines: 1, plain: 1})
   t.teardown(() => bed.stop())
   const leader = bed.leader() as BedBox
@@ -128,7 +133,7 @@
   const draw = new Draw(12)
   await Promise.all(
     Array.from({length: ROUNDS}, () => {
-      const frames = Array.from({length: 5}, () => frame(draw))
+      const frames = Array.from({length: 5}, () => createBadFrame(draw))
       return sendFrames(address, draw.below(2) === 0 ? [hello, ...frames] : frames)
     })
   )
--- a/test/ports.test.ts
+++ b/test/ports.test.ts
@@ -1,7 +1,7 @@
 /**
- * A whole run of the tests failed once: a box never came up, and its test file ran into its limit.
- * Test files run at the same time, and a port is handed out some time before the box listens on it.
- * Two files whose ports began near each other were handed the same one, and one of two boxes ended.
+ * Guards against two test files that get the same port. Files run at the same time, and
+ * a box listens on its port only some time after the port was assigned. Two files with
+ * nearby first ports got the same one, so one of two boxes exited and a test timed out.
  */
 import {type ChildProcess, fork} from "node:child_process"
 import {fileURLToPath} from "node:url"
@@ -20,18 +20,18 @@
     taker.once("error", reject)
     taker.once("message", ports => {
       resolve(ports as number[])
-      // Ends only now: what it holds is held while all the others take theirs.
+      // Ends after the test, so that its ports stay taken while the others take theirs.
       t.teardown(() => taker.kill())
     })
   })
 }
 
-t.test("processes at the same time are never handed the same port", async t => {
+t.test("processes that run at the same time get different ports", async t => {
   const taken = (await Promise.all(Array.from({length: PROCESSES}, takePorts))).flat()
   t.equal(taken.length, PROCESSES * PORTS)
   t.ok(
     takers.every(({exitCode}) => exitCode === null),
-    "all still hold theirs"
+    "all processes still hold their ports"
   )
   t.equal(new Set(taken).size, taken.length)
 })
