--- a/bench/places-boxes.ts
+++ b/bench/places-boxes.ts
@@ -2,9 +2,18 @@
 import {packDeflated, packPlain, unpack} from "../src/adapters/link-codec.js"
 import {UseCounts} from "../src/adapters/use-counts.js"
 import {type BoxServing, createBoxServing} from "../src/core/box-state.js"
-import {takeChanges, takeLoads, takePicture} from "../src/core/box-places.js"
+import {
+  applyEngineDeltas,
+  applyEngineLoads,
+  applyFullSnapshot
+} from "../src/core/box-engines.js"
 import {gatherMs} from "../src/core/placement-news.js"
-import type {EngineChange, FromLeader, Need, ToLeader} from "../src/types/box-messages.js"
+import type {
+  EngineDelta,
+  FromLeader,
+  WeightsRequest,
+  ToLeader
+} from "../src/types/box-messages.js"
 import {adapterKey} from "../src/types/fleet.js"
 import {type BenchLeader, MODEL, SERVICE_NAME} from "./places-leader.js"
 
@@ -70,10 +79,11 @@
     const now = this.options_.now()
     const begun = performance.now()
     const message = unpack(packed, packed.length * MOST_UNFOLDED) as FromLeader
-    if (message.t === "engines") takePicture(this.box_, message.engines, now)
-    if (message.t === "loads") takeLoads(this.box_, message.loads)
-    if (message.t === "places") takeChanges(this.box_, message.changes, now)
-    if (message.t === "places" && message.loads) takeLoads(this.box_, message.loads)
+    if (message.t === "engines") applyFullSnapshot(this.box_, message.engines, now)
+    if (message.t === "loads") applyEngineLoads(this.box_, message.loads)
+    if (message.t === "places") applyEngineDeltas(this.box_, message.changes, now)
+    if (message.t === "places" && message.loads)
+      applyEngineLoads(this.box_, message.loads)
     this.applyMs += performance.now() - begun
     if (message.t === "engines")
       for (const each of message.engines) this.noteHolders(each)
@@ -90,7 +100,7 @@
   }
 
   /** Requests that waited go to the places they were told of, once these are ready. */
-  serveWaiting({engine, places}: EngineChange): void {
+  serveWaiting({engine, places}: EngineDelta): void {
     const {after, leader, wayMs} = this.options_
     for (const {adapter, readyInMs} of places) {
       const waiting = this.waiting_.get(adapter) ?? []
@@ -144,7 +154,7 @@
     this.options_.leader.takeNeed(`box-${box}`, need)
   }
 
-  private needFor(adapter: string): Need {
+  private needFor(adapter: string): WeightsRequest {
     return {
       request: this.asked_.toString(16).padStart(16, "0"),
       service: SERVICE_NAME,
@@ -162,7 +172,7 @@
     let best: string | undefined
     let least = Infinity
     for (const engine of this.holders_.get(key) ?? []) {
-      const load = this.box_.engines.get(engine)?.load ?? 0
+      const load = this.box_.engines.get(engine)?.waitingTokens ?? 0
       if (load >= least) continue
       least = load
       best = engine
@@ -174,7 +184,7 @@
     engine,
     places,
     gone = []
-  }: Omit<EngineChange, "gone"> & {gone?: readonly string[]}): void {
+  }: Omit<EngineDelta, "gone"> & {gone?: readonly string[]}): void {
     for (const {adapter} of places) {
       const holders = this.holders_.get(adapter) ?? new Set<string>()
       this.holders_.set(adapter, holders.add(engine))
--- a/src/adapters/routed-box.ts
+++ b/src/adapters/routed-box.ts
@@ -19,7 +19,11 @@
 import {KvUnavailable} from "../errors.js"
 import type {Dialect, FleetRecords} from "../ports/fleet-ports.js"
 import type {KvStore} from "../ports/ports.js"
-import type {AskNews, LeaderRecord, StoreNews} from "../types/box-messages.js"
+import type {
+  StoreSnapshotRequest,
+  LeaderRecord,
+  StoreSnapshot
+} from "../types/box-messages.js"
 import type {BackendRecord} from "../types/fleet.js"
 import type {RoutedSettings} from "../types/routed-settings.js"
 import {createRandom, uniformFloat64} from "../utils/random.js"
@@ -205,7 +209,7 @@
       help: this.help_,
       eras,
       post,
-      boxes: () => serving.boxes,
+      boxes: () => serving.boxCount,
       closed: () => this.stopping_,
       configured: () => this.applyLimits(),
       lost: () => {
@@ -222,7 +226,7 @@
       hub: () => this.hub_,
       leading: () => this.leading,
       mayGive: () => this.mayGive,
-      boxes: () => serving.boxes
+      boxes: () => serving.boxCount
     })
     this.usageStore_ = new UsageStore({
       kv,
@@ -237,7 +241,7 @@
       kv,
       key: `${settings.store.prefix}crashes`,
       leads: () => this.mayGive,
-      list: () => serving.crashes.tell(clockNow()),
+      list: () => serving.crashes.toMessages(clockNow()),
       learned: records =>
         post({type: "crashes", changes: {records, cleared: []}, source: "store"}),
       log
@@ -268,7 +272,7 @@
           this.crashStore_.begin()
         },
         found: leader => this.session_.follow(leader),
-        boxes: () => serving.boxes,
+        boxes: () => serving.boxCount,
         medianAgeMs: now => now - this.medianStartAt_,
         isWeak: () => this.strength_.isWeak,
         renewElsewhere: lease => this.renewElsewhere(lease),
@@ -276,7 +280,7 @@
       }
     )
     eras.listen((known, rose) => {
-      post({type: "era", known, rose})
+      post({type: "era", known, restored: rose})
       if (!rose) return
       this.election_.doubt()
       this.crashStore_.begin()
@@ -427,7 +431,7 @@
     this.strength_.beginLead(clockNow())
     this.session_.close()
     this.loop_.post({type: "lead"})
-    this.loop_.post({type: "orders", led: true, inMs: Math.max(0, waitMs)})
+    this.loop_.post({type: "orders", hasLeader: true, inMs: Math.max(0, waitMs)})
     this.loop_.post({type: "leader-new"})
     this.crashStore_.begin()
     this.applyLimits()
@@ -446,7 +450,7 @@
   }
 
   /** Has another box read the store, and learns from it who leads. */
-  private async askBoxes(ask: AskNews): Promise<StoreNews | undefined> {
+  private async askBoxes(ask: StoreSnapshotRequest): Promise<StoreSnapshot | undefined> {
     const news = await this.help_.ask(ask)
     if (news?.leader && news.leader.incarnation !== this.incarnation_ && !this.leading) {
       this.session_.follow(news.leader)
@@ -457,7 +461,7 @@
   /** The leader is lost: the next one takes a while to order loads. */
   private expectTakeover(): void {
     const inMs = takeoverMs(this.leadershipOptions_)
-    this.loop_.post({type: "orders", led: false, inMs})
+    this.loop_.post({type: "orders", hasLeader: false, inMs})
   }
 
   private perform(effect: RoutedEffect): void {
--- a/src/core/box-crashes.ts
+++ b/src/core/box-crashes.ts
@@ -2,10 +2,10 @@
  * Detects crashes of backend servers from broken attempts, finds the requests that may
  * have caused them, and quarantines requests that crash servers repeatedly.
  */
-import type {CrashChanges, CrashNews} from "../types/crash-messages.js"
+import type {CrashUpdate, CrashReport} from "../types/crash-messages.js"
 import type {BackendRecord} from "../types/fleet.js"
-import {giveUp} from "./box-ends.js"
-import {type Attempt, type BoxRequest, type BoxServing, note} from "./box-state.js"
+import {failRequest} from "./box-ends.js"
+import {type Attempt, type BoxRequest, type BoxServing, logEvent} from "./box-state.js"
 
 /** Shortest time after which callers of a quarantined request may retry. */
 const MIN_RETRY_AFTER_MS = 5_000
@@ -21,50 +21,50 @@
   | "store"
 
 /** Whether the request is quarantined and this send is not its trial. */
-export function isStopped(
+export function isQuarantined(
   box: BoxServing,
-  {arrival: {fingerprint}, trial, attempt, attempts}: BoxRequest
+  {arrival: {fingerprint}, isTrial, attempt, attempts}: BoxRequest
 ): boolean {
   const isFirstSend = attempts === (attempt ? 1 : 0)
-  if (fingerprint === undefined || (trial && isFirstSend)) return false
-  return box.crashes.isStopped(fingerprint)
+  if (fingerprint === undefined || (isTrial && isFirstSend)) return false
+  return box.crashes.isQuarantined(fingerprint)
 }
 
 /**
  * Refuses a quarantined request, unless it can be sent as a trial now. Returns whether it
  * did.
  */
-export function refuseIfStopped(
+export function refuseIfQuarantined(
   box: BoxServing,
   request: BoxRequest,
   now: number
 ): boolean {
-  if (!isStopped(box, request)) return false
+  if (!isQuarantined(box, request)) return false
   const {fingerprint = ""} = request.arrival
   const waitMs = box.crashes.trialInMs(fingerprint, now)
   // Only the leader starts trials, and it reports a trial before sending the request.
-  if (waitMs === 0 && box.leads && box.crashes.mayTry(now)) {
-    box.crashes.noteTrial(fingerprint, now)
-    request.trial = true
-    note(box, "request-tried", {fingerprint, request: request.arrival.name})
-    reportChanges(box, {records: box.crashes.tell(now, [fingerprint]), cleared: []})
+  if (waitMs === 0 && box.isLeader && box.crashes.canTry(now)) {
+    box.crashes.recordTrial(fingerprint, now)
+    request.isTrial = true
+    logEvent(box, "request-tried", {fingerprint, request: request.arrival.name})
+    reportChanges(box, {records: box.crashes.toMessages(now, [fingerprint]), cleared: []})
     return false
   }
   const reason = request.runs > 0 ? "unknown" : "crashes-servers"
-  giveUp(box, request, reason, now, Math.max(MIN_RETRY_AFTER_MS, waitMs))
+  failRequest(box, request, reason, now, Math.max(MIN_RETRY_AFTER_MS, waitMs))
   return true
 }
 
 /** Records that a server answered the request completely. */
-export function noteAnswered(
+export function recordCompleteAnswer(
   box: BoxServing,
   {arrival: {fingerprint}}: BoxRequest,
   {backend}: Attempt,
   now: number
 ): void {
   if (fingerprint === undefined) return
-  box.crashWatch.noteAnswered(fingerprint, backend, now)
-  box.survivors.noteAnswered(fingerprint, backend, now)
+  box.crashWatch.recordAnswered(fingerprint, backend, now)
+  box.clearedRequests.recordAnswered(fingerprint, backend, now)
 }
 
 /**
@@ -74,15 +74,15 @@
  */
 export function suspectCrash(box: BoxServing, backend: string, now: number): void {
   const record = findIfNotLeaving(box, backend)
-  if (!record || !box.crashWatch.endedLately(backend, now)) return
-  if (box.crashWatch.noteBroken(backend, now)) probe(box, record)
+  if (!record || !box.crashWatch.hasRecentlyEnded(backend, now)) return
+  if (box.crashWatch.recordBroken(backend, now)) probe(box, record)
 }
 
 /**
  * Handles the result of a probe. Undefined if the connection was neither accepted nor
  * refused.
  */
-export function takeProbe(
+export function handleProbeResult(
   box: BoxServing,
   backend: string,
   up: boolean | undefined,
@@ -90,29 +90,33 @@
 ): void {
   if (up === false) return confirmCrash(box, backend, now)
   if (!up) return
-  box.crashWatch.noteReached(backend, now)
-  box.survivors.noteHeard(backend, now)
+  box.crashWatch.recordReachable(backend, now)
+  box.clearedRequests.recordAlive(backend, now)
 }
 
 /** Handles the end of a server's incarnation, shown by its next incarnation. */
-export function noteEndedLife(box: BoxServing, backend: string, now: number): void {
+export function handleEndedIncarnation(
+  box: BoxServing,
+  backend: string,
+  now: number
+): void {
   if (findIfNotLeaving(box, backend)) confirmCrash(box, backend, now)
 }
 
 /** Applies crash changes from other boxes or the store. */
-export function takeCrashes(
+export function applyCrashChanges(
   box: BoxServing,
-  {records, cleared}: CrashChanges,
+  {records, cleared}: CrashUpdate,
   source: CrashSource,
   now: number
 ): void {
   if (source === "leader-all") {
-    const missing = box.crashes.tellMissing(records, now)
+    const missing = box.crashes.listMissing(records, now)
     if (missing.length > 0) reportChanges(box, {records: missing, cleared: []})
   }
   const survived = records
     .map(({fingerprint}) => fingerprint)
-    .filter(fingerprint => box.survivors.has(fingerprint))
+    .filter(fingerprint => box.clearedRequests.isCleared(fingerprint))
   if (survived.length > 0) reportChanges(box, {records: [], cleared: survived})
   const changed = records
     .filter(({fingerprint}) => !survived.includes(fingerprint))
@@ -125,7 +129,7 @@
   const hasChanged = changed.length > 0 || clearedHere.length > 0
   if (hasChanged && (source === "box" || source === "store")) {
     reportChanges(box, {
-      records: box.crashes.tell(
+      records: box.crashes.toMessages(
         now,
         changed.map(({fingerprint}) => fingerprint)
       ),
@@ -141,16 +145,20 @@
 export function tickCrashes(box: BoxServing, now: number): void {
   box.crashes.expire(now)
   const suspects = box.crashes.fingerprints()
-  const toProbe = suspects.flatMap(each => box.survivors.takeLook(each, now) ?? [])
-  for (const backend of new Set([...toProbe, ...box.crashWatch.takeLooks(now)])) {
+  const toProbe = suspects.flatMap(
+    each => box.clearedRequests.takeDueProbe(each, now) ?? []
+  )
+  for (const backend of new Set([...toProbe, ...box.crashWatch.takeDueProbes(now)])) {
     const record = findIfNotLeaving(box, backend)
     if (record) probe(box, record)
   }
-  const cleared = suspects.filter(fingerprint => box.survivors.has(fingerprint))
+  const cleared = suspects.filter(fingerprint =>
+    box.clearedRequests.isCleared(fingerprint)
+  )
   if (cleared.length === 0) return
   for (const fingerprint of cleared) {
     box.crashes.clear(fingerprint)
-    note(box, "request-cleared", {fingerprint})
+    logEvent(box, "request-cleared", {fingerprint})
   }
   reportChanges(box, {records: [], cleared})
 }
@@ -158,16 +166,16 @@
 /**
  * Fails a quarantined request whose attempt has no answer yet. Returns whether it did.
  */
-export function endIfStopped(
+export function endIfQuarantined(
   box: BoxServing,
   request: BoxRequest,
   attempt: Attempt,
   now: number
 ): boolean {
-  if (attempt.headed || !isStopped(box, request)) return false
+  if (attempt.headReceived || !isQuarantined(box, request)) return false
   const mayHaveRun = attempt.started || request.runs > 0
   const waitMs = box.crashes.trialInMs(request.arrival.fingerprint ?? "", now)
-  giveUp(box, request, mayHaveRun ? "unknown" : "crashes-servers", now, waitMs)
+  failRequest(box, request, mayHaveRun ? "unknown" : "crashes-servers", now, waitMs)
   return true
 }
 
@@ -175,18 +183,18 @@
   const inProgress = [...box.requests.values()]
     .filter(({attempt}) => attempt?.started === true && attempt.backend === backend)
     .flatMap(({arrival: {fingerprint}}) => fingerprint ?? [])
-  const ended = box.crashWatch.takeCrash(backend, now)
-  const answered = box.survivors.takeCrash(backend, now)
+  const ended = box.crashWatch.handleCrash(backend, now)
+  const answered = box.clearedRequests.handleCrash(backend, now)
   const suspects = [...new Set([...inProgress, ...ended, ...answered])].filter(
-    fingerprint => !box.survivors.has(fingerprint)
+    fingerprint => !box.clearedRequests.isCleared(fingerprint)
   )
   const added = suspects.filter(fingerprint => addCrash(box, fingerprint, backend, now))
   if (added.length === 0) return
-  note(box, "server-crashed", {backend, suspects: added.length})
-  reportChanges(box, {records: box.crashes.tell(now, added), cleared: []})
+  logEvent(box, "server-crashed", {backend, suspects: added.length})
+  reportChanges(box, {records: box.crashes.toMessages(now, added), cleared: []})
 }
 
-function mergeRecord(box: BoxServing, record: CrashNews, now: number): boolean {
+function mergeRecord(box: BoxServing, record: CrashReport, now: number): boolean {
   return logIfQuarantined(box, record.fingerprint, () => box.crashes.merge(record, now))
 }
 
@@ -205,15 +213,15 @@
   fingerprint: string,
   change: () => boolean
 ): boolean {
-  const wasQuarantined = box.crashes.isStopped(fingerprint)
+  const wasQuarantined = box.crashes.isQuarantined(fingerprint)
   const hasChanged = change()
-  if (!wasQuarantined && box.crashes.isStopped(fingerprint)) {
-    note(box, "request-stopped", {fingerprint})
+  if (!wasQuarantined && box.crashes.isQuarantined(fingerprint)) {
+    logEvent(box, "request-stopped", {fingerprint})
   }
   return hasChanged
 }
 
-function reportChanges(box: BoxServing, changes: CrashChanges): void {
+function reportChanges(box: BoxServing, changes: CrashUpdate): void {
   box.effects.push({type: "crashes", changes})
 }
 
--- a/src/core/box-starts.ts
+++ b/src/core/box-send-checks.ts
@@ -2,18 +2,18 @@
  * Repeats the checks of a send right before its bytes leave, since the attempt may have
  * waited for a connection.
  */
-import {isStillHeld} from "./access.js"
+import {isKeyStillValid} from "./access.js"
 import {isUsable} from "./backend-list.js"
-import {isStopped} from "./box-crashes.js"
-import type {AttemptFailure} from "./box-doubts.js"
-import {isStale} from "./box-news.js"
+import {isQuarantined} from "./box-crashes.js"
+import type {AttemptFailure} from "./box-attempt-failures.js"
+import {isSnapshotStale} from "./box-snapshot-age.js"
 import type {BoxServing} from "./box-state.js"
-import {CHARGE_MS} from "./usage-limits.js"
+import {CHARGE_TIMEOUT_MS} from "./usage-limits.js"
 import {restsForMs} from "./server-notices.js"
-import {mayRunOn} from "./box-versions.js"
+import {canRunOnVersion} from "./box-versions.js"
 
 /** Returns why the attempt must not be sent now, or undefined if it may be. */
-export function findObstacle(
+export function findSendObstacle(
   box: BoxServing,
   id: string,
   now: number
@@ -22,16 +22,17 @@
   const attempt = request?.attempt
   if (!request || !attempt) return "overtaken"
   const {charge} = attempt
-  if (charge && now - charge.at > CHARGE_MS) return "overtaken"
+  if (charge && now - charge.at > CHARGE_TIMEOUT_MS) return "overtaken"
   if (!isUsable(box.backends, attempt.backend)) return "not-sent"
   if (restsForMs(box, attempt.backend, now) > 0) return "overtaken"
   const {allowedUntil = -Infinity} = attempt
-  if (box.rates.of(attempt.backend) !== undefined && now > allowedUntil) {
+  if (box.advertisedRates.of(attempt.backend) !== undefined && now > allowedUntil) {
     return "overtaken"
   }
   const {key, organisation} = request.arrival
-  if (!isStillHeld(box, key, organisation)) return "overtaken"
-  if (isStopped(box, request)) return "overtaken"
-  const holds = !isStale(box, now) && mayRunOn(box, request, attempt.version, now)
+  if (!isKeyStillValid(box, key, organisation)) return "overtaken"
+  if (isQuarantined(box, request)) return "overtaken"
+  const holds =
+    !isSnapshotStale(box, now) && canRunOnVersion(box, request, attempt.version, now)
   return holds ? undefined : "overtaken"
 }
--- a/src/core/placement-uses.ts
+++ b/src/core/placement-uses.ts
@@ -1,8 +1,8 @@
 /** Applies what boxes report to their leader: weights requests and use of engines. */
-import type {Need, UseChange} from "../types/box-messages.js"
+import type {WeightsRequest, EngineUseDelta} from "../types/box-messages.js"
 import {adapterKey, type BackendRecord, type FleetService} from "../types/fleet.js"
 import {answerNeed} from "./placement-news.js"
-import {noteRead} from "./reading-rate.js"
+import {recordPrefill} from "./prefill-rate.js"
 import {keepStrays} from "./placement-strays.js"
 import {
   type BoxUse,
@@ -32,12 +32,12 @@
     fleet.engines.delete(id)
     removedByServer.set(engine.server, engine)
   }
-  for (const each of listed) {
-    const engine = fleet.engines.get(each.id)
-    if (engine) engine.leaving = each.leaving
-    else if (services.get(each.service)?.engine) {
-      const unconfirmedLoads = keepStrays(removedByServer.get(each.server), now)
-      fleet.engines.set(each.id, createEngine(each, unconfirmedLoads))
+  for (const entry of listed) {
+    const engine = fleet.engines.get(entry.id)
+    if (engine) engine.leaving = entry.leaving
+    else if (services.get(entry.service)?.engine) {
+      const unconfirmedLoads = keepStrays(removedByServer.get(entry.server), now)
+      fleet.engines.set(entry.id, createEngine(entry, unconfirmedLoads))
     }
   }
 }
@@ -94,7 +94,7 @@
 export function takeNeed(
   fleet: Fleet,
   box: string,
-  weightsRequest: Need,
+  weightsRequest: WeightsRequest,
   now: number
 ): void {
   fleet.waiting.set(waitingKey(box, weightsRequest.request), {
@@ -116,7 +116,7 @@
 export function takeUses(
   fleet: Fleet,
   box: string,
-  deltas: readonly UseChange[],
+  deltas: readonly EngineUseDelta[],
   now: number
 ): void {
   const uses = fleet.uses.get(box) ?? new Map<string, BoxUse>()
@@ -159,7 +159,7 @@
   const engine = fleet.engines.get(id)
   if (!engine) return
   engine.load = Math.max(0, engine.load + tokensDelta)
-  if (tokensDelta < 0) noteRead(fleet, engine, -tokensDelta, now)
+  if (tokensDelta < 0) recordPrefill(fleet, engine, -tokensDelta, now)
   engine.loadChanged = true
   const slot = adapter === undefined ? undefined : engine.places.get(adapter)
   if (!slot) return
--- a/test/dialect.test.ts
+++ b/test/dialect.test.ts
@@ -63,18 +63,15 @@
   }
 })
 
-t.test(
-  "headers that only boxes may set are written once, with the box's value",
-  async t => {
-    const sent = RESERVED.flatMap(name => [name, "forged", name.toUpperCase(), "forged"])
-    const written = platformDialect.writeRequest(sent, FACTS)
-    const names = written.filter((_, i) => i % 2 === 0).map(name => name.toLowerCase())
-    t.same(
-      names.sort(),
-      [HEADER.deadline, HEADER.expectedVersion, HEADER.priority, HEADER.target].sort()
-    )
-  }
-)
+t.test("a box's own headers are each written once, with the box's value", async t => {
+  const sent = RESERVED.flatMap(name => [name, "forged", name.toUpperCase(), "forged"])
+  const written = platformDialect.writeRequest(sent, FACTS)
+  const names = written.filter((_, i) => i % 2 === 0).map(name => name.toLowerCase())
+  t.same(
+    names.sort(),
+    [HEADER.deadline, HEADER.expectedVersion, HEADER.priority, HEADER.target].sort()
+  )
+})
 
 t.test("all parts of a prompt but the last are shared", async t => {
   const prefixOf = (text: string) =>
--- a/test/patterns/stale-loads.ts
+++ b/test/patterns/stale-loads.ts
@@ -14,7 +14,7 @@
 import type {RoutedState} from "../../src/core/serving-fleet.js"
 import type {RoutedEffect, RoutedEvent} from "../../src/core/serving-events.js"
 import {UseCounts} from "../../src/adapters/use-counts.js"
-import type {EngineLoads} from "../../src/types/box-messages.js"
+import type {PrefillBacklog} from "../../src/types/box-messages.js"
 import {Agenda} from "./agenda.js"
 import {CONFIG, drawFrom, LINK_MS, MODEL, recordOf, ROUTE, SERVICE} from "./fleet.js"
 
@@ -127,7 +127,7 @@
       {type: "config", config: CONFIG},
       {type: "backends", records, reading: {source: "store", at: 0}},
       {type: "boxes", boxes},
-      {type: "orders", led: true, inMs: 0},
+      {type: "orders", hasLeader: true, inMs: 0},
       {type: "engines", engines: pictures}
     ]
     for (const event of events) stepRouted(state, event, 0)
@@ -186,7 +186,7 @@
     if (effect.type === "places" && effect.loads) this.tell(effect.loads)
   }
 
-  private tell(loads: EngineLoads): void {
+  private tell(loads: PrefillBacklog): void {
     this.agenda_.later(LINK_MS, () => {
       for (let i = 0; i < this.boxes_.length; i++) this.step(i, {type: "loads", loads})
     })
--- a/test/retry-asks.test.ts
+++ b/test/retry-asks.test.ts
@@ -1,7 +1,7 @@
 /** A box among many whose own repeats are used up asks its leader for one. */
 import t from "tap"
-import {ASK_RETRY_MS} from "../src/core/box-asks.js"
-import type {AttemptFailure} from "../src/core/box-doubts.js"
+import {RETRY_ANSWER_TIMEOUT_MS} from "../src/core/box-retry-requests.js"
+import type {AttemptFailure} from "../src/core/box-attempt-failures.js"
 import {createBoxServing} from "../src/core/box-state.js"
 import {RetryPool} from "../src/core/rate-windows.js"
 import {stepRouted} from "../src/core/serving.js"
@@ -54,7 +54,7 @@
     const records = [recordOf("one"), recordOf("two")]
     this.step({type: "backends", records, reading: {source: "store", at: 0}})
     this.step({type: "boxes", boxes})
-    this.step({type: "orders", led, inMs: 0})
+    this.step({type: "orders", hasLeader: led, inMs: 0})
     const arrival = {
       id: "q",
       name: "n",
@@ -104,8 +104,8 @@
   const subject = new Subject(MANY, true)
   subject.fail("refused")
   const tick = {type: "tick", mayOrder: false} as const
-  t.same(subject.step(tick, NOW + ASK_RETRY_MS - 1), [])
-  t.same(subject.step(tick, NOW + ASK_RETRY_MS), ["end not-run"])
+  t.same(subject.step(tick, NOW + RETRY_ANSWER_TIMEOUT_MS - 1), [])
+  t.same(subject.step(tick, NOW + RETRY_ANSWER_TIMEOUT_MS), ["end not-run"])
   t.same(subject.step({type: "may-retry", id: "q", allowed: true}, NOW + 200), [])
 })
 
@@ -126,7 +126,7 @@
     const pool = new RetryPool(RETRY, 0)
     const takeAll = (now: number): number => {
       let given = 0
-      while (pool.take("s", now)) given++
+      while (pool.tryTake("s", now)) given++
       return given
     }
     t.equal(takeAll(0), 0)
@@ -134,7 +134,7 @@
     t.equal(takeAll(10_000), 35)
     t.equal(takeAll(12_000), 0, "all is given")
     t.equal(takeAll(15_001), 35, "and comes back with the window")
-    t.ok(pool.take("other", 15_001), "each service for itself")
+    t.ok(pool.tryTake("other", 15_001), "each service for itself")
   }
 )
 
