--- a/src/adapters/engine-driver.ts
+++ b/src/adapters/engine-driver.ts
@@ -69,7 +69,7 @@
     const {dialect, post, find} = this.options_
     const record = find(engine)
     if (!record) return later(() => post({type: "report", engine, report: undefined}))
-    const call = dialect.askReport(record.server)
+    const call = dialect.writeReportRequest(record.server)
     const take = (result: CallResult): void => {
       const report = this.readReport(engine, result)
       if (report && isOfOtherLife(report, record)) post({type: "life-over", engine})
--- a/src/adapters/kv-etcd.ts
+++ b/src/adapters/kv-etcd.ts
@@ -130,7 +130,7 @@
     try {
       await this.readWatch(prefix, after.revision, note, limit.signal)
     } catch (cause) {
-      if (!limit.isOver() && !signal.aborted) throw cause
+      if (!limit.hasExpired() && !signal.aborted) throw cause
     } finally {
       limit.clear()
     }
--- a/src/adapters/leader-election.ts
+++ b/src/adapters/leader-election.ts
@@ -15,7 +15,7 @@
 import type {KvEntry, KvStore} from "../ports/ports.js"
 import type {LeaderRecord} from "../types/box-messages.js"
 import type {StoreCaller} from "../types/store-calls.js"
-import {firstOf, pause} from "../utils/promises.js"
+import {firstSuccess, pause} from "../utils/promises.js"
 import {clockNow} from "./clock.js"
 import {callAs} from "./store-counter.js"
 import type {StoreEras} from "./era-source.js"
@@ -212,7 +212,7 @@
     const own = this.as("lease-renew")
       .keepAlive(lease)
       .then(known => ({known, sentAt, helped: false}))
-    const renewal = await firstOf([own, this.askHelp(own, lease)])
+    const renewal = await firstSuccess([own, this.askHelp(own, lease)])
     if (this.leadership.lease !== lease) return
     if (renewal.helped !== this.helped_) this.events_.helped(renewal.helped)
     this.helped_ = renewal.helped
--- a/src/adapters/news-help.ts
+++ b/src/adapters/news-help.ts
@@ -3,7 +3,7 @@
  * A box that the service turns away cannot even find out who leads.
  */
 import type {StoreSnapshotRequest, StoreSnapshot} from "../types/box-messages.js"
-import {firstOf} from "../utils/promises.js"
+import {firstSuccess} from "../utils/promises.js"
 import {askNews} from "./box-links.js"
 
 /** Boxes that are asked at once: some may be turned away, too. */
@@ -45,7 +45,7 @@
       return news
     })
     // That no box answers is no error: whoever asked notes that it has no news.
-    return asked.length === 0 ? undefined : firstOf(asked).catch(() => undefined)
+    return asked.length === 0 ? undefined : firstSuccess(asked).catch(() => undefined)
   }
 
   /** Some of the boxes, by chance. */
--- a/src/adapters/routed-relay.ts
+++ b/src/adapters/routed-relay.ts
@@ -86,13 +86,13 @@
     await this.awaitNews()
     if (res.destroyed) return
     const {dialect} = this.options_
-    const own = dialect.ownAnswer(facts.name)
+    const own = dialect.ownAnswerHeaders(facts.requestId)
     const answer = new RelayExchange(randomUUID(), facts, false, req, res, null)
     const serving = this.options_.serving()
     const now = serving.table
     const noteOwn = (reason: string): void =>
       this.options_.log("route-none", {
-        request: facts.name,
+        request: facts.requestId,
         reason,
         config: now?.config.version ?? -1
       })
@@ -135,7 +135,16 @@
       path: req.url ?? "/",
       body
     })
-    const {name, weights, tokens, usage, key, prefix, lastEventId, deadlineMs} = facts
+    const {
+      requestId: name,
+      weights,
+      tokens,
+      usage,
+      key,
+      prefix,
+      lastEventId,
+      deadlineMs
+    } = facts
     this.options_.post({
       type: "arrive",
       arrival: {
@@ -257,18 +266,18 @@
           if (!current()) return
           const answer = dialect.readAnswer(status, mapHeaders(raw))
           const {abort} = exchange
-          if (answer.name !== exchange.facts.name) {
+          if (answer.requestId !== exchange.facts.requestId) {
             // An answer to another request: nothing on this connection can be trusted.
             fail("broken")
             abort?.()
             return
           }
           const {notice} = answer
-          if (notice && (answer.genuine || answer.notRun)) {
+          if (notice && (answer.isGenuine || answer.notRun)) {
             this.takeNotice(backend.id, notice, sentAt)
           }
           if (answer.notRun) return fail(answer.notRun)
-          if (!answer.genuine) {
+          if (!answer.isGenuine) {
             fail("broken")
             return
           }
@@ -305,7 +314,7 @@
 
   private end(exchange: RelayExchange, reason: EndReason, retryAfterMs: number): void {
     this.exchanges_.delete(exchange.id)
-    const own = this.options_.dialect.ownAnswer(exchange.facts.name)
+    const own = this.options_.dialect.ownAnswerHeaders(exchange.facts.requestId)
     const headers: Record<string, string> = {...own}
     if (COMES_BACK.has(reason)) headers["retry-after"] = (retryAfterMs / 1000).toFixed(2)
     if (this.options_.closing()) headers.connection = "close"
--- a/src/adapters/store-calls.ts
+++ b/src/adapters/store-calls.ts
@@ -68,7 +68,7 @@
       const era = eras.place(Array.isArray(header) ? header[0] : header, sentAt)
       return {status: answer.statusCode, body: text === "" ? {} : JSON.parse(text), era}
     } catch (cause) {
-      if (limit.isOver()) this.leavePool(pool)
+      if (limit.hasExpired()) this.leavePool(pool)
       throw toKvError(cause as Error)
     } finally {
       clearTimeout(late)
--- a/src/adapters/store-follower.ts
+++ b/src/adapters/store-follower.ts
@@ -5,7 +5,7 @@
 import type {CallPurpose, StoreCaller, StoreReason} from "../types/store-calls.js"
 import type {StorePosition} from "../types/store-position.js"
 import {backoffMs} from "../utils/backoff.js"
-import {askAgainAfter, pause} from "../utils/promises.js"
+import {hedgeAfter, pause} from "../utils/promises.js"
 import {limitTime} from "../utils/time-limit.js"
 import {clockNow} from "./clock.js"
 import {callAs} from "./store-counter.js"
@@ -175,7 +175,7 @@
       named = {...purpose, reason: "repeated"}
       return store.list(prefix, from)
     }
-    const answer = await (again ? askAgainAfter(LATE_ANSWER_MS, ask) : ask())
+    const answer = await (again ? hedgeAfter(LATE_ANSWER_MS, ask) : ask())
     // Pages are no snapshot: what changed since the first is told by the watch once more.
     first ??= {revision: answer.revision, era: answer.era}
     // Pages of two eras are no list: the first ones may hold what the copy lacks.
