--- a/src/adapters/routed-box.ts
+++ b/src/adapters/routed-box.ts
@@ -1,6 +1,7 @@
 /**
- * A routed box: one process that serves callers and, while it leads, places weights on engines.
- * Composition only: what happens becomes an event of the core, its effects are performed here.
+ * A routed box: one process that serves callers and, while it is the leader, places
+ * weights on engines. This file only connects the parts: it posts events to the core and
+ * performs the effects that the core returns.
  */
 import {randomUUID} from "node:crypto"
 import type {Server} from "node:http"
@@ -28,7 +29,7 @@
 import type {RoutedSettings} from "../types/routed-settings.js"
 import {createRandom, uniformFloat64} from "../utils/random.js"
 import {clockNow, clockSuspendedMs} from "./clock.js"
-import {BoxHub} from "./box-hub.js"
+import {BoxHub, type BoxHubOptions} from "./box-hub.js"
 import {BoxStrength} from "./box-strength.js"
 import {CrashStore} from "./crash-store.js"
 import {EngineDriver, orderPool} from "./engine-driver.js"
@@ -50,23 +51,28 @@
 import {probeServer} from "./server-probe.js"
 import {limitCallers, listenAt, serveText} from "./routed-server.js"
 
-/** A turn of the clock that comes later by so much means that the process stood still, milliseconds. */
-const PAUSED_MS = 1_200
-/** Off the lease of the leader: clock rates, and an order's way. */
+/** A tick that is later than this is logged as a process pause. */
+const LOGGED_PAUSE_MS = 1_200
+/**
+ * Subtracted from the leader's lease for clock drift and for the transit time of an
+ * order.
+ */
 const LEASE_MARGIN_MS = 200
-/** After a stop was asked for, new requests are still taken for this long. */
+/** For how long new requests are still accepted after a stop was requested. */
 const STOP_LISTEN_MS = 2_600
 
-/** A leader that stops waits so long at most for what it leaves to the next one, milliseconds. */
-const CLOSE_USAGE_MS = 150
+/**
+ * How long a stopping leader waits at most for the usage it saves for the next leader.
+ */
+const MAX_USAGE_SAVE_MS = 150
 
-/** How often a box that stops looks whether it is done, milliseconds. */
-const STOP_TURN_MS = 50
+/** How often a stopping box checks whether its requests have ended. */
+const STOP_CHECK_MS = 50
 
 export interface RoutedContext {
   readonly settings: RoutedSettings
   readonly kv: KvStore
-  /** As the answers of the key-value service tell it. */
+  /** The era that the answers of the key-value service carry. */
   readonly eras: StoreEras
   readonly dialect: Dialect
   readonly records: FleetRecords
@@ -74,7 +80,6 @@
   readonly metrics: Metrics
 }
 
-/** Starts a routed box. */
 export async function startRoutedBox(context: RoutedContext): Promise<RunningProcess> {
   const calls = countStoreCalls(context)
   const box = new RoutedBox({...context, kv: calls.kv})
@@ -87,15 +92,15 @@
   private readonly incarnation_ = randomUUID()
   private readonly loop_
   private readonly relay_: RoutedRelay
-  private readonly news_: NewsSource
-  private readonly settled_: SettledEra
+  private readonly snapshotSource_: NewsSource
+  private readonly settledEra_: SettledEra
   private readonly driver_: EngineDriver
   private readonly election_: LeaderElection
   private readonly leadershipOptions_: LeadershipOptions
   private readonly self_: LeaderRecord
   private readonly session_: LeaderSession
-  private readonly leaderWay_: LeaderWay
-  private readonly help_: NewsHelp
+  private readonly leaderChannel_: LeaderWay
+  private readonly snapshotHelp_: NewsHelp
   private readonly usageStore_: UsageStore
   private readonly crashStore_: CrashStore
   private hub_: BoxHub | undefined
@@ -105,15 +110,17 @@
   private readonly strength_: BoxStrength
   /** When the processes of half of the boxes had started. */
   private medianStartAt_ = clockNow()
-  /** The servers for which pools were kept last. */
+  /** The list of backend servers for which pools were last kept. */
   private pooledFor_: unknown
-  /** What the clock had counted for suspensions at the last look. */
+  /** Total time of suspensions of the machine at the last check. */
   private suspendedMs_ = clockSuspendedMs()
   private lastTickAt_ = clockNow()
   private stopping_ = false
   private random_ = createRandom(Date.now() & 0x7fffffff)
-  private finish_: () => void = () => undefined
-  private readonly stopped_ = new Promise<void>(resolve => (this.finish_ = resolve))
+  private resolveStopped_: () => void = () => undefined
+  private readonly stopped_ = new Promise<void>(
+    resolve => (this.resolveStopped_ = resolve)
+  )
 
   constructor(private readonly context_: RoutedContext) {
     const {settings, kv, eras, dialect, records, log} = context_
@@ -124,7 +131,7 @@
       incarnation: this.incarnation_,
       address: settings.boxes
     }
-    this.help_ = new NewsHelp(settings.boxes)
+    this.snapshotHelp_ = new NewsHelp(settings.boxes)
     const draw = (): number => {
       const [value, next] = uniformFloat64(this.random_)
       this.random_ = next
@@ -172,14 +179,14 @@
       log,
       closing: () => this.stopping_
     })
-    this.settled_ = new SettledEra({
+    this.settledEra_ = new SettledEra({
       kv,
       key: `${settings.store.prefix}settled-era`,
       eras,
       post,
       log
     })
-    this.news_ = new NewsSource({
+    this.snapshotSource_ = new NewsSource({
       kv,
       records,
       post,
@@ -191,13 +198,13 @@
       startedAt: clockNow(),
       askLeader: () => this.session_.send({t: "ask-config"}),
       askAll: () => {
-        const configVersion = this.news_.config?.version ?? -1
+        const configVersion = this.snapshotSource_.config?.version ?? -1
         this.session_.send({t: "ask-all", configVersion})
       },
       renewed: () => this.hub_?.tellReading(clockNow()),
-      askBoxes: ask => this.askBoxes(ask),
+      askBoxes: ask => this.requestSnapshot(ask),
       eras,
-      settled: this.settled_
+      settled: this.settledEra_
     })
     this.session_ = new LeaderSession({
       self: this.self_,
@@ -205,42 +212,42 @@
       strongest: capacity => (this.strength_.top = capacity),
       startedAt: this.startedAt_,
       kv,
-      news: this.news_,
-      help: this.help_,
+      news: this.snapshotSource_,
+      help: this.snapshotHelp_,
       eras,
       post,
       boxes: () => serving.boxCount,
       closed: () => this.stopping_,
       configured: () => this.applyLimits(),
       lost: () => {
-        if (!this.leading) this.expectTakeover()
+        if (!this.isLeading) this.expectTakeover()
       },
-      hearing: () => this.noteStandstill(clockNow()),
+      hearing: () => this.detectPause(clockNow()),
       pinged: medianAgeMs => (this.medianStartAt_ = clockNow() - medianAgeMs),
       log
     })
-    this.leaderWay_ = new LeaderWay({
+    this.leaderChannel_ = new LeaderWay({
       box: this.incarnation_,
       post,
       send: message => this.session_.send(message),
       hub: () => this.hub_,
-      leading: () => this.leading,
-      mayGive: () => this.mayGive,
+      leading: () => this.isLeading,
+      mayGive: () => this.mayGrant,
       boxes: () => serving.boxCount
     })
     this.usageStore_ = new UsageStore({
       kv,
       key: `${settings.store.prefix}usage`,
       post,
-      leading: () => this.leading,
-      fence: () => (this.mayGive ? this.election_.leadership.fence : undefined),
+      leading: () => this.isLeading,
+      fence: () => (this.mayGrant ? this.election_.leadership.fence : undefined),
       eras,
       log
     })
     this.crashStore_ = new CrashStore({
       kv,
       key: `${settings.store.prefix}crashes`,
-      leads: () => this.mayGive,
+      leads: () => this.mayGrant,
       list: () => serving.crashes.toMessages(clockNow()),
       learned: records =>
         post({type: "crashes", changes: {records, cleared: []}, source: "store"}),
@@ -264,8 +271,8 @@
         ...leadershipOptions
       },
       {
-        won: fence => this.lead(fence),
-        lost: reason => this.leadOver(reason),
+        won: fence => this.handleElected(fence),
+        lost: reason => this.handleLeadershipEnded(reason),
         doubted: () => log("lead-unconfirmed", {era: eras.era ?? -1}),
         confirmed: fence => {
           log("lead-confirmed", {fence, era: eras.era ?? -1})
@@ -298,13 +305,13 @@
     this.servers_.push(this.callers_)
     this.servers_.push(
       await serveText(settings.ready, "/ready", () => {
-        const ready = !this.stopping_ && this.news_.config !== undefined
+        const ready = !this.stopping_ && this.snapshotSource_.config !== undefined
         return {status: ready ? 200 : 503, text: ready ? "ready\n" : "not ready\n"}
       })
     )
     measureBox(metrics, {
       state: this.loop_.state,
-      news: this.news_,
+      news: this.snapshotSource_,
       era: () => this.context_.eras.era,
       openRequests: () => this.relay_.open
     })
@@ -317,17 +324,17 @@
       )
     }
     await new Promise<void>((resolve, reject) => {
-      const options = {
+      const options: BoxHubOptions = {
         address: settings.boxes,
         state: this.loop_.state,
         post: this.loop_.post,
-        news: this.news_,
+        news: this.snapshotSource_,
         capacity: this.strength_.capacity,
         leadership: this.election_.leadership,
         eras: this.context_.eras,
-        settled: this.settled_,
-        leader: () => (this.leading ? this.self_ : this.session_.leader),
-        met: (addresses: readonly string[]) => this.help_.learn(addresses),
+        settled: this.settledEra_,
+        leader: () => (this.isLeading ? this.self_ : this.session_.leader),
+        met: (addresses: readonly string[]) => this.snapshotHelp_.learn(addresses),
         log
       }
       this.hub_ = new BoxHub(options, resolve, reject)
@@ -335,7 +342,10 @@
     log("started", {callers: settings.callers, boxes: settings.boxes})
   }
 
-  /** Ends in order: not ready at once, the lead handed over, what is in progress ended. */
+  /**
+   * Stops gracefully: reports not ready at once, hands over the leadership, and waits
+   * until the requests in progress have ended or the grace period is over.
+   */
   async stop(): Promise<void> {
     if (this.stopping_) return
     this.stopping_ = true
@@ -344,25 +354,26 @@
     log("stopping", {open: this.relay_.open})
     this.loop_.post({type: "stop"})
     const listenUntil = clockNow() + Math.min(STOP_LISTEN_MS, settings.graceS * 500)
-    // It leads on for as long as it takes requests: the next one waits before it orders anyway, and
-    // where boxes are restarted in turn each wait that comes later is one in which loads go on.
-    while (this.leading && clockNow() < listenUntil) {
-      await new Promise(resolve => setTimeout(resolve, STOP_TURN_MS))
+    // Stays leader while it accepts requests, so that loads go on: the next leader has to
+    // wait before its first order anyway, and in a rolling restart each handover costs
+    // such a wait.
+    while (this.isLeading && clockNow() < listenUntil) {
+      await new Promise(resolve => setTimeout(resolve, STOP_CHECK_MS))
     }
     this.loop_.post({type: "usage-close"})
-    await this.usageStore_.settle(CLOSE_USAGE_MS)
+    await this.usageStore_.settle(MAX_USAGE_SAVE_MS)
     await this.election_.stop()
     while (clockNow() < deadline) {
       const idle = this.relay_.open === 0 && clockNow() >= listenUntil
       if (clockNow() >= listenUntil) this.closeIdle()
       if (idle) break
-      await new Promise(resolve => setTimeout(resolve, STOP_TURN_MS))
+      await new Promise(resolve => setTimeout(resolve, STOP_CHECK_MS))
     }
-    this.news_.stopFollowing()
+    this.snapshotSource_.stopFollowing()
     this.session_.close()
     this.hub_?.close()
     log("stopped", {open: this.relay_.open})
-    this.finish_()
+    this.resolveStopped_()
   }
 
   private closeIdle(): void {
@@ -370,19 +381,19 @@
     this.callers_?.closeIdleConnections()
   }
 
-  /** Once a turn of the clock; whether orders may be given. */
+  /** Does the periodic work of a tick. Returns whether orders may be sent. */
   private tick(): boolean {
     const now = clockNow()
-    this.noteStandstill(now)
+    this.detectPause(now)
     this.lastTickAt_ = now
     this.election_.check()
     const leading = this.election_.leadership.fence !== undefined
     this.session_.tick(now, leading)
     this.election_.settle(this.session_.linked)
-    this.news_.choose(leading, now)
-    this.dropPools()
+    this.snapshotSource_.choose(leading, now)
+    this.closeUnusedPools()
     if (leading) {
-      this.settled_.settleIfDue(now)
+      this.settledEra_.settleIfDue(now)
       this.hub_?.pingIfDue(now)
       this.medianStartAt_ = this.hub_?.medianStartAt ?? this.medianStartAt_
       this.strength_.top = this.hub_?.topCapacity ?? 0
@@ -391,27 +402,31 @@
     return canOrder(this.election_.leadership, now)
   }
 
-  /** Looked at before anything that came meanwhile is believed. */
-  private noteStandstill(now: number): void {
+  /**
+   * Detects a pause of the process or a suspension of the machine. Runs before messages
+   * that arrived in the meantime are applied, as their ages may be wrong.
+   */
+  private detectPause(now: number): void {
     const suspendedMs = clockSuspendedMs()
     if (suspendedMs > this.suspendedMs_) {
       this.context_.log("suspended", {
         suspendedMs: Math.round(suspendedMs - this.suspendedMs_)
       })
       this.suspendedMs_ = suspendedMs
-      // The ages of its messages are told by a clock that has stepped against the leader's.
+      // The clock has stepped relative to the leader's, so ages of its messages would be
+      // wrong.
       this.session_.close()
       this.election_.doubtLease()
     }
     const gap = now - this.lastTickAt_
     if (gap < PROCESS_PAUSE_MS) return
-    if (gap > PAUSED_MS) this.context_.log("paused", {gapMs: Math.round(gap)})
+    if (gap > LOGGED_PAUSE_MS) this.context_.log("paused", {gapMs: Math.round(gap)})
     this.lastTickAt_ = now
-    this.news_.resume(now)
+    this.snapshotSource_.resume(now)
   }
 
-  /** Connections to servers that are gone are closed once their requests have ended. */
-  private dropPools(): void {
+  /** Closes connections to removed servers once their requests have ended. */
+  private closeUnusedPools(): void {
     const {known} = this.loop_.state().serving.backends
     if (known === this.pooledFor_) return
     this.pooledFor_ = known
@@ -424,7 +439,7 @@
     return canOrder(leadership, clockNow()) ? leadership.fence : undefined
   }
 
-  private lead(fence: number): void {
+  private handleElected(fence: number): void {
     const {orderFrom} = this.election_.leadership
     const waitMs = Math.round(orderFrom - clockNow())
     this.context_.log("leading", {fence, waitMs})
@@ -437,7 +452,7 @@
     this.applyLimits()
   }
 
-  private leadOver(reason: string): void {
+  private handleLeadershipEnded(reason: string): void {
     this.context_.log("lead-over", {reason})
     this.hub_?.cutAll()
     this.loop_.post({type: "lead-over"})
@@ -445,20 +460,28 @@
   }
 
   private async renewElsewhere(lease: string): Promise<boolean> {
-    if (!this.hub_) throw new KvUnavailable("no box follows yet")
+    if (!this.hub_) throw new KvUnavailable("the hub of this box is not listening yet")
     return this.hub_.renewLease(lease)
   }
 
-  /** Has another box read the store, and learns from it who leads. */
-  private async askBoxes(ask: StoreSnapshotRequest): Promise<StoreSnapshot | undefined> {
-    const news = await this.help_.ask(ask)
-    if (news?.leader && news.leader.incarnation !== this.incarnation_ && !this.leading) {
-      this.session_.follow(news.leader)
+  /** Requests a store snapshot from another box, and follows the leader that it names. */
+  private async requestSnapshot(
+    request: StoreSnapshotRequest
+  ): Promise<StoreSnapshot | undefined> {
+    const snapshot = await this.snapshotHelp_.ask(request)
+    if (
+      snapshot?.leader &&
+      snapshot.leader.incarnation !== this.incarnation_ &&
+      !this.isLeading
+    ) {
+      this.session_.follow(snapshot.leader)
     }
-    return news
+    return snapshot
   }
 
-  /** The leader is lost: the next one takes a while to order loads. */
+  /**
+   * Reports to the core that there is no leader, and when the next one may order loads.
+   */
   private expectTakeover(): void {
     const inMs = takeoverMs(this.leadershipOptions_)
     this.loop_.post({type: "orders", hasLeader: false, inMs})
@@ -475,14 +498,14 @@
         return void this.usageStore_.save(effect.save, effect.outlooks)
       case "crashes":
         this.crashStore_.saveSoon()
-        return void this.leaderWay_.perform(effect)
+        return void this.leaderChannel_.perform(effect)
       case "probe":
         return void this.probe(effect.backend)
       case "order":
       case "ask":
         return this.driver_.perform(effect)
       default:
-        if (!this.leaderWay_.perform(effect)) this.relay_.perform(effect as BoxEffect)
+        if (!this.leaderChannel_.perform(effect)) this.relay_.perform(effect as BoxEffect)
     }
   }
 
@@ -491,19 +514,22 @@
     this.loop_.post({type: "probed", backend: id, up})
   }
 
-  private get leading(): boolean {
+  private get isLeading(): boolean {
     return this.loop_.state().fleet !== undefined
   }
 
-  /** Whether this box leads for sure: what it gives of limits is in the next leader's count. */
-  private get mayGive(): boolean {
+  /**
+   * Whether this box is the confirmed leader by its own clock, so that the next leader
+   * counts the allowances it grants.
+   */
+  private get mayGrant(): boolean {
     const {leadership} = this.election_
-    return this.leading && isLeader(leadership, clockNow()) && leadership.confirmed
+    return this.isLeading && isLeader(leadership, clockNow()) && leadership.confirmed
   }
 
-  /** Applies the callers' limits of the configuration. */
+  /** Applies the callers' limits of the current configuration, if there is one. */
   private applyLimits(): void {
-    const {config} = this.news_
+    const {config} = this.snapshotSource_
     if (config && this.callers_) limitCallers(this.callers_, config.limits)
   }
 }
--- a/src/adapters/routed-server.ts
+++ b/src/adapters/routed-server.ts
@@ -1,4 +1,4 @@
-/** The addresses a routed box listens at: callers, readiness, metrics. */
+/** HTTP servers of a routed box: for callers, readiness and metrics. */
 import {
   createServer,
   type IncomingMessage,
@@ -8,7 +8,7 @@
 import type {CallerLimits} from "../types/fleet.js"
 import {splitAddress} from "../utils/address.js"
 
-/** A server that listens, or the reason why not. */
+/** Listens at an address. Rejects if that fails. */
 export function listenAt(
   address: string,
   handle: (req: IncomingMessage, res: ServerResponse) => void
@@ -25,13 +25,13 @@
 const MAX_HEADER_BYTES = 32_768
 const BACKLOG = 1_024
 
-/** Applies what a configuration lets callers do. */
+/** Applies the configured time limits for callers' connections. */
 export function limitCallers(server: Server, limits: CallerLimits): void {
   server.headersTimeout = limits.headerTimeoutMs
   server.keepAliveTimeout = limits.idleTimeoutMs
 }
 
-/** Serves one text at one path. */
+/** Serves one text at one path; other paths are answered with 404. */
 export function serveText(
   address: string,
   path: string,
