--- a/src/adapters/routed-metrics.ts
+++ b/src/adapters/routed-metrics.ts
@@ -1,4 +1,7 @@
-/** Counters and histograms of a routed box, from the events of its decisions. */
+/**
+ * Metrics of a routed box: gauges of its state; counters and histograms of its log
+ * events.
+ */
 import type {BoxLogEvent, LogFields} from "../core/box-state.js"
 import type {FleetLogEvent} from "../core/placement-state.js"
 import type {RoutedState} from "../core/serving-fleet.js"
@@ -6,19 +9,19 @@
 import type {Metrics} from "./metrics.js"
 import type {NewsSource} from "./news-source.js"
 
-/** The age of news that metrics tell at most; also where there is none. */
-const MAX_TOLD_AGE_MS = 3_600_000
+/** Upper bound of the reported snapshot age; also reported if there is no snapshot. */
+const MAX_REPORTED_AGE_MS = 3_600_000
 
-/** Where a box's beliefs are read for its metrics. */
+/** The parts of a box from which its gauges are read. */
 export interface MeasuredBox {
   readonly state: () => RoutedState
   readonly news: NewsSource
-  /** Of the key-value service; undefined: it tells none. */
+  /** Era of the key-value service. Undefined if the service reports none. */
   readonly era: () => number | undefined
   readonly openRequests: () => number
 }
 
-/** Gauges of what a box believes. */
+/** Registers the gauges of a box. */
 export function measureBox(
   metrics: Metrics,
   {state, news, era, openRequests}: MeasuredBox
@@ -35,11 +38,11 @@
   metrics.gauge("sedge_sends_allowed", {}, () => state().pacer?.granted ?? 0)
   metrics.gauge("sedge_sends_not_allowed", {}, () => state().pacer?.refused ?? 0)
   metrics.gauge("sedge_news_age_ms", {}, () =>
-    Math.min(MAX_TOLD_AGE_MS, news.ageMs(clockNow()))
+    Math.min(MAX_REPORTED_AGE_MS, news.ageMs(clockNow()))
   )
 }
 
-/** Counts an event, and records the times of an answered request by its route. */
+/** Counts a log event, and records the durations of an answered request by route. */
 export function measureNote(
   metrics: Metrics,
   event: BoxLogEvent | FleetLogEvent,
--- a/src/adapters/routed-relay.ts
+++ b/src/adapters/routed-relay.ts
@@ -1,4 +1,4 @@
-/** Performs what the core decides for callers' requests: sends, answers, aborts. */
+/** Performs the core's effects for callers' requests: sends, answers and aborts. */
 import {randomUUID} from "node:crypto"
 import type {IncomingMessage, ServerResponse} from "node:http"
 import {type AccessRefusal, checkAccess} from "../core/access.js"
@@ -28,8 +28,11 @@
   "crashes-servers": 503
 }
 
-/** Requests that were told that they did not run come back when they are told to. */
-const COMES_BACK: ReadonlySet<EndReason> = new Set([
+/**
+ * Reasons that are answered with `retry-after`: the request did not run and may be
+ * retried.
+ */
+const RETRYABLE_REASONS: ReadonlySet<EndReason> = new Set([
   "not-run",
   "over-limit",
   "crashes-servers"
@@ -41,17 +44,19 @@
   "keys-too-old": 503
 }
 
-/** Between two notes to the core that an answer goes on, milliseconds. */
-const HEARD_MS = 200
+/** Interval of the events that report to the core that an answer is still arriving. */
+const PROGRESS_INTERVAL_MS = 200
 
 /**
- * A request waits so long at most for news to route it by, milliseconds: news that cannot be had is given up
- * after 150; and how often it looks.
+ * How long a request waits at most for a fresh store snapshot before it is routed. An
+ * attempt to get one is abandoned after 150 ms.
  */
-const MAX_NEWS_WAIT_MS = 500
-const NEWS_TURN_MS = 10
+const MAX_SNAPSHOT_WAIT_MS = 500
+const SNAPSHOT_CHECK_MS = 10
 
-/** Before there is a configuration, or a current one, callers may come back after this, seconds. */
+/**
+ * `retry-after` of requests that fail for lack of a current configuration or key list.
+ */
 const NO_CONFIG_RETRY_S = 0.5
 
 export interface RelayOptions {
@@ -60,7 +65,10 @@
   readonly serving: () => BoxServing
   readonly random: () => number
   readonly log: Log
-  /** The box is stopping: callers' connections end after their answers. */
+  /**
+   * Whether the box is stopping, so that callers' connections are closed after their
+   * answers.
+   */
   readonly closing: () => boolean
 }
 
@@ -76,49 +84,49 @@
     return this.exchanges_.size
   }
 
-  /** Takes a caller's request in. */
+  /** Reads a caller's request, checks its route and key, and hands it to the core. */
   async take(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const {table} = this.options_.serving()
     const facts = this.options_.dialect.readRequest(req.headers)
     const limit = table?.config.limits.maxBodyBytes ?? Infinity
     const body = await readWholeBody(req, limit)
     if (body === "gone") return
-    await this.awaitNews()
+    await this.awaitFreshSnapshot()
     if (res.destroyed) return
     const {dialect} = this.options_
     const own = dialect.ownAnswer(facts.name)
     const answer = new RelayExchange(randomUUID(), facts, false, req, res, null)
     const serving = this.options_.serving()
-    const now = serving.table
-    const noteOwn = (reason: string): void =>
+    const currentTable = serving.table
+    const logRefusal = (reason: string): void =>
       this.options_.log("route-none", {
         request: facts.name,
         reason,
-        config: now?.config.version ?? -1
+        config: currentTable?.config.version ?? -1
       })
     if (body === "too-large") {
-      noteOwn("body-too-large")
+      logRefusal("body-too-large")
       return answer.refuse(413, problem("body-too-large"), own)
     }
     const retry = String(NO_CONFIG_RETRY_S)
-    if (!now) {
-      noteOwn("no-configuration")
+    if (!currentTable) {
+      logRefusal("no-configuration")
       const headers = {...own, "retry-after": retry}
       return answer.refuse(503, problem("no-configuration"), headers)
     }
-    const route = findRoute(now, req.headers.host ?? "", req.url ?? "/")
+    const route = findRoute(currentTable, req.headers.host ?? "", req.url ?? "/")
     const service = route && drawService(route, this.options_.random())
     if (!route || service === undefined) {
-      // By an old table nobody can say that there is no such route: it may be new.
+      // A stale table does not prove that the route is missing: the route may be new.
       const current = isConfigCurrent(this.options_.serving(), clockNow())
-      noteOwn(current ? "no-route" : "no-route-yet")
+      logRefusal(current ? "no-route" : "no-route-yet")
       if (current) return answer.refuse(404, problem("no-route"), own)
       return answer.refuse(503, problem("no-route-yet"), {...own, "retry-after": retry})
     }
     const access = checkAccess(serving, route, facts.key, clockNow())
     if (!access.granted) {
       const status = ACCESS_STATUS[access.reason]
-      noteOwn(access.reason)
+      logRefusal(access.reason)
       const headers = status === 503 ? {...own, "retry-after": retry} : own
       return answer.refuse(status, problem(access.reason), headers)
     }
@@ -126,7 +134,7 @@
     const streaming = route.kind === "streaming"
     const exchange = new RelayExchange(answer.id, facts, streaming, req, res, body)
     this.exchanges_.set(exchange.id, exchange)
-    res.on("close", () => this.callerClosed(exchange))
+    res.on("close", () => this.handleCallerDisconnect(exchange))
     const {id} = exchange
     const fingerprint = fingerprintRequest({
       caller: organisation?.name ?? "",
@@ -149,7 +157,7 @@
         usage,
         key,
         organisation: organisation?.name,
-        rank: now.rankOf(organisation?.priority, route.priority),
+        rank: currentTable.rankOf(organisation?.priority, route.priority),
         prefix,
         deadlineMs,
         lastEventId
@@ -158,18 +166,19 @@
   }
 
   /**
-   * A process that stood still takes requests that came meanwhile before it has read the store: their routes
-   * wait for that as sends do, so that no caller is told that a route is missing which is only new.
+   * Waits for a fresh store snapshot. After a process pause, requests that arrived
+   * meanwhile are handled before the store has been read again. Routing waits for that
+   * read, as sends do, so that a request for a new route is not answered with "no route".
    */
-  private async awaitNews(): Promise<void> {
-    const until = clockNow() + MAX_NEWS_WAIT_MS
+  private async awaitFreshSnapshot(): Promise<void> {
+    const until = clockNow() + MAX_SNAPSHOT_WAIT_MS
     while (isSnapshotStale(this.options_.serving(), clockNow())) {
       if (clockNow() > until) return
-      await pause(NEWS_TURN_MS)
+      await pause(SNAPSHOT_CHECK_MS)
     }
   }
 
-  /** Performs an effect; false: it is not the relay's. */
+  /** Performs an effect. Returns false if the effect does not concern the relay. */
   perform(effect: BoxEffect): boolean {
     if (!("id" in effect)) return false
     const exchange = this.exchanges_.get(effect.id)
@@ -182,7 +191,7 @@
         exchange.pass(this.options_.closing())
         return true
       case "discard":
-        // The answer is read to its end, which keeps the connection.
+        // Reading the answer to its end allows the connection to be reused.
         if (exchange.attempt === effect.attempt) exchange.attempt = -1
         return true
       case "abort":
@@ -205,7 +214,8 @@
 
   private send(exchange: RelayExchange, effect: SendEffect): void {
     const {id, attempt, backend, expectedVersion, deadlineMs} = effect
-    // What went to the caller is known here: a stream goes on after it, whatever the core has heard.
+    // The last event that was sent to the caller: a stream resumes after it. The core's
+    // value may be older.
     const {lastEventId} = exchange
     const {dialect, post, serving} = this.options_
     const {table, boxCount: boxes} = serving()
@@ -220,13 +230,16 @@
       expectedVersion,
       lastEventId
     })
-    const most = table?.services.get(backend.service)?.maxConnections ?? 1
-    const connections = Math.max(2, Math.floor((most * 0.8) / Math.max(1, boxes)))
+    const maxConnections = table?.services.get(backend.service)?.maxConnections ?? 1
+    const connections = Math.max(
+      2,
+      Math.floor((maxConnections * 0.8) / Math.max(1, boxes))
+    )
     const {method = "GET", url = "/"} = exchange.req
-    let heardAt = 0
+    let reportedAt = 0
     const fail = (failure: AttemptFailure): void => {
       if (!current()) return
-      // The rest of this attempt's answer is nobody's.
+      // Ignores the rest of this attempt's answer.
       exchange.attempt = -1
       const last = exchange.lastEventId
       post({type: "failed", id, attempt, failure, lastEventId: last})
@@ -241,7 +254,8 @@
       {
         started: abort => {
           if (!current()) return false
-          // It may have left while the request waited for a connection.
+          // The server may have become unusable while the request waited for a
+          // connection.
           const obstacle = findSendObstacle(serving(), id, clockNow())
           if (obstacle) {
             fail(obstacle)
@@ -258,14 +272,15 @@
           const answer = dialect.readAnswer(status, mapHeaders(raw))
           const {abort} = exchange
           if (answer.name !== exchange.facts.name) {
-            // An answer to another request: nothing on this connection can be trusted.
+            // An answer to another request: later answers on this connection may be
+            // wrong, too.
             fail("broken")
             abort?.()
             return
           }
           const {notice} = answer
           if (notice && (answer.genuine || answer.notRun)) {
-            this.takeNotice(backend.id, notice, sentAt)
+            this.handleNotice(backend.id, notice, sentAt)
           }
           if (answer.notRun) return fail(answer.notRun)
           if (!answer.genuine) {
@@ -280,8 +295,8 @@
           if (!current()) return
           exchange.take(chunk)
           const now = clockNow()
-          if (now - heardAt < HEARD_MS) return
-          heardAt = now
+          if (now - reportedAt < PROGRESS_INTERVAL_MS) return
+          reportedAt = now
           post({type: "heard", id, attempt})
         },
         done: () => {
@@ -295,8 +310,10 @@
     )
   }
 
-  /** An answer that says nothing of its server ends the rate that the server had named. */
-  private takeNotice(backend: string, notice: ServerNotice, sentAt: number): void {
+  /**
+   * Reports a server's notice. An answer without a notice ends the advertised rate limit.
+   */
+  private handleNotice(backend: string, notice: ServerNotice, sentAt: number): void {
     const {post, serving} = this.options_
     const named = serving().advertisedRates.of(backend) !== undefined
     if (!named && !hasNotice(notice)) return
@@ -307,12 +324,13 @@
     this.exchanges_.delete(exchange.id)
     const own = this.options_.dialect.ownAnswer(exchange.facts.name)
     const headers: Record<string, string> = {...own}
-    if (COMES_BACK.has(reason)) headers["retry-after"] = (retryAfterMs / 1000).toFixed(2)
+    if (RETRYABLE_REASONS.has(reason))
+      headers["retry-after"] = (retryAfterMs / 1000).toFixed(2)
     if (this.options_.closing()) headers.connection = "close"
     exchange.refuse(END_STATUS[reason], problem(reason), headers)
   }
 
-  private callerClosed(exchange: RelayExchange): void {
+  private handleCallerDisconnect(exchange: RelayExchange): void {
     if (!this.exchanges_.delete(exchange.id)) return
     this.options_.post({type: "hang-up", id: exchange.id})
     exchange.attempt = -1
