--- a/src/adapters/box-hub.ts
+++ b/src/adapters/box-hub.ts
@@ -1,6 +1,7 @@
 /**
- * What a leader tells the boxes that follow it, and what it hears from them: configuration, backend
- * servers, versions, places and loads of engines one way, needs and uses the other.
+ * The leader's communication with the boxes that follow it. It sends configuration,
+ * backend servers, versions, slots and loads of engines, and receives weights requests
+ * and usage deltas.
  */
 import {newestVersionOf} from "../core/adapter-versions.js"
 import type {BoxServing} from "../core/box-state.js"
@@ -30,43 +31,46 @@
 
 const PING_MS = 250
 
-/** The leader pings less often where it has many boxes: so much for each, up to a most. */
-const PING_BOX_MS = 8
+/** With many boxes the ping interval grows by this for each box, up to `MAX_PING_MS`. */
+const PING_MS_PER_BOX = 8
 const MAX_PING_MS = 800
 
-/** Addresses of boxes that a ping tells: after some pings a box knows enough to ask, should it lose its leader. */
-const TOLD_ADDRESSES = 3
+/**
+ * Addresses of other boxes in a ping. After some pings a box has enough addresses to
+ * request a store snapshot if it loses its leader.
+ */
+const ADDRESSES_PER_PING = 3
 
-/** A box from which nothing came for so long is cut off. */
+/** The link to a box that has been silent for longer than this is closed. */
 const FOLLOWER_SILENCE_MS = 2_500
 
 export interface BoxHubOptions {
-  /** Where boxes link to this one, IP number and port. */
+  /** The address at which this box accepts links, IP address and port. */
   readonly address: string
   readonly state: () => RoutedState
   readonly post: (event: RoutedEvent) => void
   readonly news: NewsSource
-  /** What the processor of this box can do, in cores. */
+  /** Processor capacity of this box, in cores. */
   readonly capacity: number
   readonly leadership: Leadership
   readonly eras: StoreEras
   readonly settled: SettledEra
-  /** Whom this box follows, or itself. */
+  /** The leader that this box follows, or this box if it is the leader itself. */
   readonly leader: () => LeaderRecord | undefined
-  /** Other boxes take links there. */
+  /** Called with addresses at which other boxes accept links. */
   readonly met: (addresses: readonly string[]) => void
   readonly log: Log
 }
 
 type EngineEffect = Extract<RoutedEffect, {type: "places" | "loads"}>
 
-/** The leader's end of all links. */
+/** The leader's end of the links to all boxes. */
 export class BoxHub {
-  /** When the processes of half of the boxes had started, by the clock of this one. */
+  /** Median start time of the boxes' processes, by the clock of this box. */
   medianStartAt = clockNow()
   private readonly links_: LinkHub
-  private readonly backendNews_: BackendNews
-  private readonly help_ = new LeaseHelp(
+  private readonly backendUpdates_: BackendNews
+  private readonly leaseHelp_ = new LeaseHelp(
     count => this.links_.draw(count),
     (box, ask, lease) => this.links_.send(box, {t: "renew", ask, lease})
   )
@@ -78,10 +82,10 @@
     failed: (cause: Error) => void
   ) {
     this.links_ = new LinkHub(options_.address, this.linkEvents(), listening, failed)
-    this.backendNews_ = new BackendNews(message => this.links_.broadcast(message))
+    this.backendUpdates_ = new BackendNews(message => this.links_.broadcast(message))
   }
 
-  /** Tells of engines what the effect says, to whom it says. */
+  /** Sends an update of engines to the boxes that the effect names, or to all. */
   tell(effect: EngineEffect): void {
     if (effect.type === "loads") {
       return this.links_.broadcast({t: "loads", loads: effect.loads})
@@ -92,75 +96,79 @@
     else this.links_.broadcast(message)
   }
 
-  /** Passes on what this box learned from the store. */
+  /** Forwards an update that this box read from the store to all boxes. */
   tellLearned(message: FromLeader): void {
     this.links_.broadcast(this.shorten(message))
   }
 
-  /** Tells a box that its request cannot be served in time. */
+  /** Informs a box that its request cannot be served in time. */
   refuse(box: string, request: string, retryAfterMs: number): void {
     this.links_.send(box, {t: "refuse", request, retryAfterMs})
   }
 
-  /** Gives a box allowances of organisations' limits. */
+  /** Sends a box its allowances of organisations' limits. */
   allow(box: string, ask: number, grants: readonly AllowanceGrant[]): void {
     this.links_.send(box, {t: "allowances", ask, grants})
   }
 
-  /** Tells all boxes of requests that crash servers. */
+  /** Informs all boxes of changes in the requests that crash servers. */
   tellCrashes(changes: CrashUpdate): void {
     this.links_.broadcast({t: "crashes", changes, whole: false})
   }
 
-  /** Tells all boxes what servers take from all of them together. */
+  /** Informs all boxes of the rates that servers accept from all boxes together. */
   tellRates(news: readonly RateReport[]): void {
     this.links_.broadcast({t: "rates", news})
   }
 
-  /** Answers the asks of a box for sends to servers that named rates. */
+  /** Answers a box's requests for sends to servers with an advertised rate limit. */
   grantSends(box: string, grants: readonly SendAllowanceGrant[]): void {
     this.links_.send(box, {t: "send-grants", grants})
   }
 
-  /** Answers a box whether a request may be sent once more. */
+  /** Answers a box whether a request may be retried. */
   answerRetry(box: string, request: string, allowed: boolean): void {
     this.links_.send(box, {t: "may-retry", request, allowed})
   }
 
-  /** Tells of servers what changed, and from time to time that the leader lives. */
+  /** Sends changes of backend servers, and a ping if one is due. */
   pingIfDue(now: number): void {
-    this.tellBackends()
+    this.sendBackendChanges()
     if (now >= this.pingAt_) this.pingAll(now)
   }
 
-  /** Tells at once what a reading of the store brought, and that all news is as new as that. */
+  /** Sends the result of a store read at once, and a ping with the new snapshot age. */
   tellReading(now: number): void {
     if (this.options_.leadership.fence === undefined) return
-    this.tellBackends()
+    this.sendBackendChanges()
     this.pingAll(now)
   }
 
-  private tellBackends(): void {
+  private sendBackendChanges(): void {
     const {state, settled} = this.options_
     const {serving} = state()
-    // Boxes that remember more than this one must not drop what it leaves out.
+    // After a restore this list may be incomplete. Other boxes may hold more servers and
+    // must not drop those that are missing here.
     if (settled.isDoubted(clockNow())) return
-    this.backendNews_.tell(serving.backends.known)
+    this.backendUpdates_.tell(serving.backends.known)
   }
 
   private pingAll(now: number): void {
-    this.pingAt_ = now + pingMs(this.boxes)
+    this.pingAt_ = now + pingMs(this.boxCount)
     this.links_.cutSilent(FOLLOWER_SILENCE_MS)
-    this.links_.broadcast(this.ping(now))
-    this.options_.post({type: "boxes", boxes: this.boxes})
+    this.links_.broadcast(this.createPing(now))
+    this.options_.post({type: "boxes", boxes: this.boxCount})
   }
 
-  /** Has the lease renewed by boxes that the key-value service may still serve. */
+  /**
+   * Has the leader's lease renewed by other boxes, which may still reach the key-value
+   * service.
+   */
   renewLease(lease: string): Promise<boolean> {
-    return this.help_.renew(lease)
+    return this.leaseHelp_.renew(lease)
   }
 
-  /** Cuts all links: this box leads no longer. */
+  /** Closes all links because the leadership of this box ended. */
   cutAll(): void {
     this.links_.cutAll()
   }
@@ -169,8 +177,8 @@
     this.links_.close()
   }
 
-  /** All boxes, this one included. */
-  private get boxes(): number {
+  /** The number of boxes, including this one. */
+  private get boxCount(): number {
     return this.links_.size + 1
   }
 
@@ -178,26 +186,26 @@
     const {log, post, leadership} = this.options_
     return {
       accepts: () => leadership.fence !== undefined,
-      asked: ask => this.newsFor(ask),
+      asked: ask => this.readSnapshot(ask),
       up: (box, configVersion, follower) => {
         log("box-linked", {box})
-        this.options_.met(this.links_.drawAddresses(TOLD_ADDRESSES))
-        for (const message of this.tellAll(configVersion)) follower.send(message)
+        this.options_.met(this.links_.drawAddresses(ADDRESSES_PER_PING))
+        for (const message of this.listFullState(configVersion)) follower.send(message)
       },
       down: box => {
         log("box-unlinked", {box})
         post({type: "box-gone", box})
       },
-      message: (box, message) => this.take(box, message)
+      message: (box, message) => this.handleMessage(box, message)
     }
   }
 
-  /** The most that the processor of any box can do, this one's included, in cores. */
+  /** The highest processor capacity of all boxes, including this one, in cores. */
   get topCapacity(): number {
     return Math.max(this.options_.capacity, this.links_.topCapacity)
   }
 
-  private ping(now: number): FromLeader {
+  private createPing(now: number): FromLeader {
     const {news, leadership, eras} = this.options_
     const medianAgeMs = this.links_.medianAgeMs(now)
     this.medianStartAt = now - medianAgeMs
@@ -206,17 +214,20 @@
       newsAgeMs: news.ownAgeMs(now),
       configAgeMs: news.configAgeMs(now),
       sentAt: now,
-      boxes: this.boxes,
+      boxes: this.boxCount,
       ordersInMs: Math.max(0, Math.round(leadership.orderFrom - now)),
       medianAgeMs,
-      others: this.links_.drawAddresses(TOLD_ADDRESSES),
+      others: this.links_.drawAddresses(ADDRESSES_PER_PING),
       topCapacity: this.topCapacity,
       storeEra: eras.tell(now)
     }
   }
 
-  /** What a box is told that has no other way to learn; undefined: this one cannot read the store either. */
-  private async newsFor({
+  /**
+   * Returns a store snapshot for a box that has no other source. Undefined if this box
+   * cannot read the store either.
+   */
+  private async readSnapshot({
     configVersion,
     ageMs
   }: StoreSnapshotRequest): Promise<StoreSnapshot | undefined> {
@@ -242,14 +253,17 @@
     }
   }
 
-  /** Where there are many boxes each reads a configuration itself: the leader's link is narrow. */
+  /**
+   * Replaces a configuration by its version if there are many boxes. Each box then reads
+   * the configuration from the store, which saves the leader's bandwidth.
+   */
   private shorten(message: FromLeader): FromLeader {
     if (message.t !== "config" || sendsUnbatched(this.links_.size)) return message
     return {t: "config-named", version: message.config.version}
   }
 
-  /** All that a new follower has to know. */
-  private tellAll(configVersion: number): FromLeader[] {
+  /** Returns the messages that bring a new follower up to date. */
+  private listFullState(configVersion: number): FromLeader[] {
     const now = clockNow()
     const {serving, fleet} = this.options_.state()
     const {config} = this.options_.news
@@ -267,7 +281,8 @@
               records,
               whole: true,
               gone: [],
-              // A leader that has not read the store yet knows what the last one told it.
+              // A leader that has not read the store yet passes on what the last leader
+              // sent.
               ageMs: this.options_.news.ageMs(now),
               sentAt: now
             }
@@ -282,11 +297,11 @@
       {t: "versions", versions},
       {t: "engines", engines},
       {t: "loads", loads},
-      this.ping(now)
+      this.createPing(now)
     ]
   }
 
-  private take(box: string, message: ToLeader): void {
+  private handleMessage(box: string, message: ToLeader): void {
     const {post, news} = this.options_
     switch (message.t) {
       case "need":
@@ -322,12 +337,12 @@
         if (news.config) this.links_.send(box, {t: "config", config: news.config})
         return
       case "ask-all":
-        for (const each of this.tellAll(message.configVersion)) {
-          this.links_.send(box, each)
+        for (const update of this.listFullState(message.configVersion)) {
+          this.links_.send(box, update)
         }
         return
       case "renewed":
-        return this.help_.answered(message.ask, message.known)
+        return this.leaseHelp_.answered(message.ask, message.known)
       case "hello":
       case "ask-news":
       case "pong":
@@ -350,7 +365,10 @@
   )
 }
 
-/** How often a leader of so many boxes, and each of them, says that it lives, milliseconds. */
+/**
+ * Returns the interval at which a leader of `boxes` boxes, and each of these, sends a
+ * heartbeat.
+ */
 export function pingMs(boxes: number): number {
-  return Math.min(MAX_PING_MS, Math.max(PING_MS, boxes * PING_BOX_MS))
+  return Math.min(MAX_PING_MS, Math.max(PING_MS, boxes * PING_MS_PER_BOX))
 }
--- a/src/adapters/box-links.ts
+++ b/src/adapters/box-links.ts
@@ -1,4 +1,4 @@
-/** Links between boxes and their leader: `ws` carrying `msgpackr`, quiet ones cut. */
+/** WebSocket links between boxes and their leader, with `msgpackr` messages. */
 import {WebSocket, WebSocketServer} from "ws"
 import {parseToLeader} from "../types/box-frames.js"
 import type {
@@ -12,25 +12,27 @@
 import {clockNow} from "./clock.js"
 import {packDeflated, packPlain, unpack} from "./link-codec.js"
 
-/** Bytes that may wait for a slow peer; past that the link is cut. */
+/**
+ * Limit of the bytes buffered for a slow peer; the link is closed when it is exceeded.
+ */
 const MAX_BUFFERED_BYTES = 4 << 20
 const MAX_MESSAGE_BYTES = 16 << 20
-const CONNECT_MS = 600
-/** A connection that says nothing for so long is no box's, milliseconds. */
-const FIRST_MESSAGE_MS = 2_000
+const CONNECT_TIMEOUT_MS = 600
+/** A connection without a `hello` in this time is closed: its peer is not a box. */
+const HELLO_TIMEOUT_MS = 2_000
 
 /** One end of a link between boxes. */
 class BoxLink<Out extends BoxMessage, In extends BoxMessage> {
   heardAt = clockNow()
-  /** The other end reads deflated messages. */
+  /** Whether the peer reads deflated messages. */
   deflates = false
   private ended_ = false
 
   constructor(
     readonly socket_: WebSocket,
-    private readonly read_: (value: unknown) => In | undefined,
-    private readonly take_: (message: In) => void,
-    private readonly end_: () => void
+    private readonly parse_: (value: unknown) => In | undefined,
+    private readonly handle_: (message: In) => void,
+    private readonly onEnd_: () => void
   ) {
     socket_.binaryType = "nodebuffer"
     socket_.on("message", data => this.receive(data as Buffer))
@@ -52,7 +54,7 @@
     if (this.ended_) return
     this.ended_ = true
     this.socket_.terminate()
-    this.end_()
+    this.onEnd_()
   }
 
   private receive(data: Buffer): void {
@@ -60,40 +62,46 @@
     this.heardAt = clockNow()
     const message = this.unpack(data)
     if (message === undefined) return this.close()
-    this.take_(message)
+    this.handle_(message)
   }
 
   private unpack(data: Buffer): In | undefined {
     try {
-      return this.read_(unpack(data, MAX_MESSAGE_BYTES))
+      return this.parse_(unpack(data, MAX_MESSAGE_BYTES))
     } catch {
       return undefined
     }
   }
 }
 
-/** A box as the leader sees it. */
+/** The leader's end of the link to one box. */
 export type Follower = BoxLink<FromLeader, ToLeader>
 
 export interface HubEvents {
-  /** Asked for each box that wants to follow: whether this box leads. */
+  /** Whether this box is the leader and accepts followers. */
   readonly accepts: () => boolean
-  /** A box that follows nobody asks for news; undefined: there is none. */
+  /**
+   * Handles a snapshot request of a box without a leader. Undefined if there is no
+   * snapshot.
+   */
   readonly asked: (ask: StoreSnapshotRequest) => Promise<FromLeader | undefined>
   readonly up: (box: string, configVersion: number, follower: Follower) => void
   readonly down: (box: string) => void
   readonly message: (box: string, message: ToLeader) => void
 }
 
-/** The leader's end of all links. A box that does not lead refuses them, but tells the news. */
+/**
+ * The leader's end of the links to all boxes. A box that is not the leader refuses links,
+ * but answers requests for store snapshots.
+ */
 export class LinkHub {
   private readonly server_: WebSocketServer
   private readonly followers_ = new Map<string, Follower>()
-  /** When the process of each box started, by the clock of this one. */
+  /** Start time of each box's process, by the clock of this box. */
   private readonly startedAt_ = new Map<string, number>()
-  /** What the processor of each box can do, in cores. */
+  /** Processor capacity of each box, in cores. */
   private readonly capacities_ = new Map<string, number>()
-  /** Where each box takes links. */
+  /** The address at which each box accepts links. */
   private readonly addresses_ = new Map<string, string>()
 
   constructor(
@@ -118,19 +126,19 @@
     return this.followers_.size
   }
 
-  /** Since the processes of half of the boxes started, milliseconds; 0: there are none. */
+  /** Median age of the boxes' processes, milliseconds. 0 if there are no boxes. */
   medianAgeMs(now: number): number {
     const starts = [...this.startedAt_.values()].sort((a, b) => a - b)
     const median = starts[starts.length >> 1]
     return median === undefined ? 0 : Math.round(now - median)
   }
 
-  /** The most that the processor of any box can do, in cores. */
+  /** The highest processor capacity of all linked boxes, in cores. */
   get topCapacity(): number {
     return Math.max(0, ...this.capacities_.values())
   }
 
-  /** Sends to all; the message is packed once for each way in which boxes read it. */
+  /** Sends a message to all boxes. It is packed at most once plain and once deflated. */
   broadcast(message: FromLeader): void {
     let plain: Buffer | undefined
     let deflated: Buffer | undefined
@@ -144,19 +152,19 @@
     this.followers_.get(box)?.send(message)
   }
 
-  /** So many boxes at most, drawn by chance. */
+  /** Returns at most `count` boxes, chosen at random. */
   draw(count: number): string[] {
     const boxes = [...this.followers_.keys()]
     const first = Math.floor(Math.random() * boxes.length)
     return [...boxes.slice(first), ...boxes.slice(0, first)].slice(0, count)
   }
 
-  /** Where so many boxes at most, drawn by chance, take links. */
+  /** Returns the link addresses of at most `count` boxes, chosen at random. */
   drawAddresses(count: number): string[] {
     return this.draw(count).flatMap(box => this.addresses_.get(box) ?? [])
   }
 
-  /** Cuts links from which nothing came for so long. */
+  /** Closes links that have been silent for longer than `silenceMs`. */
   cutSilent(silenceMs: number): void {
     const now = clockNow()
     for (const follower of this.followers_.values()) {
@@ -164,7 +172,6 @@
     }
   }
 
-  /** Cuts all links: this box leads no longer. */
   cutAll(): void {
     for (const follower of this.followers_.values()) follower.close()
   }
@@ -176,8 +183,8 @@
 
   private accept(socket: WebSocket): void {
     let box: string | undefined
-    const firstMessageTimer = setTimeout(() => follower.close(), FIRST_MESSAGE_MS)
-    const take = (message: ToLeader): void => {
+    const firstMessageTimer = setTimeout(() => follower.close(), HELLO_TIMEOUT_MS)
+    const handle = (message: ToLeader): void => {
       if (message.t === "ask-news") return void this.answer(follower, message)
       if (message.t === "hello") {
         if (!this.events_.accepts()) return follower.close()
@@ -187,7 +194,7 @@
       }
       if (box !== undefined) this.events_.message(box, message)
     }
-    const follower: Follower = new BoxLink(socket, parseToLeader, take, () => {
+    const follower: Follower = new BoxLink(socket, parseToLeader, handle, () => {
       clearTimeout(firstMessageTimer)
       if (box === undefined || this.followers_.get(box) !== follower) return
       this.followers_.delete(box)
@@ -209,14 +216,17 @@
     this.events_.up(box, configVersion, follower)
   }
 
-  private async answer(follower: Follower, ask: StoreSnapshotRequest): Promise<void> {
-    const news = await this.events_.asked(ask)
-    if (news) follower.send(news)
+  private async answer(follower: Follower, request: StoreSnapshotRequest): Promise<void> {
+    const snapshot = await this.events_.asked(request)
+    if (snapshot) follower.send(snapshot)
     else follower.close()
   }
 }
 
-/** Asks a box that need not lead for its news; undefined: it has none, or does not answer in time. */
+/**
+ * Requests a store snapshot from a box, which need not be the leader. Undefined if the
+ * box has none or does not answer in time.
+ */
 export function askNews(
   address: string,
   ask: StoreSnapshotRequest,
@@ -226,7 +236,7 @@
     const socket = openSocket(address)
     const link = new BoxLink<ToLeader, FromLeader>(
       socket,
-      trustBox,
+      acceptUnchecked,
       message => {
         if (message.t === "news") resolve(message)
         link.close()
@@ -248,8 +258,11 @@
   })
 }
 
-/** Addresses of boxes come from the leader's key in the store, or from a leader: their word is taken. */
-function trustBox(value: unknown): FromLeader {
+/**
+ * Accepts a message without validation. The addresses of these peers come from the
+ * leader's key in the store or from a leader, so the peers are trusted.
+ */
+function acceptUnchecked(value: unknown): FromLeader {
   return value as FromLeader
 }
 
@@ -260,7 +273,7 @@
 
 /** A box's end of the link to its leader. */
 export class LeaderLink {
-  /** When the leader was first written to; Infinity: the connection is not up yet. */
+  /** When `hello` was sent. Infinity while the connection is not up yet. */
   greetedAt = Infinity
   private readonly link_: BoxLink<ToLeader, FromLeader>
   private readonly timer_: NodeJS.Timeout
@@ -271,14 +284,14 @@
     events: LeaderLinkEvents
   ) {
     const socket = openSocket(address)
-    this.link_ = new BoxLink(socket, trustBox, events.message, () => {
+    this.link_ = new BoxLink(socket, acceptUnchecked, events.message, () => {
       clearTimeout(this.timer_)
       events.down()
     })
-    // A connection that does not come up is given up; TCP itself would try for minutes.
+    // Limits the time to connect; TCP itself would try for minutes.
     this.timer_ = setTimeout(() => {
       if (socket.readyState !== WebSocket.OPEN) this.link_.close()
-    }, CONNECT_MS)
+    }, CONNECT_TIMEOUT_MS)
     socket.once("open", () => {
       this.greetedAt = clockNow()
       this.link_.heardAt = this.greetedAt
