--- a/src/adapters/box-list.ts
+++ b/src/adapters/box-list.ts
@@ -1,11 +1,11 @@
-/** The platform's box list over HTTP, asked for at intervals. */
+/** Polls the platform's list of boxes over HTTP. */
 import {request} from "undici"
 import type {BoxList} from "../ports/ports.js"
 import type {Log} from "./log.js"
 
 const TIMEOUT_MS = 2_000
 
-/** The list at a base URL. */
+/** Returns the box list that is served at a base URL. */
 export function connectBoxList(baseUrl: string): BoxList {
   return {
     async leaving() {
@@ -21,7 +21,10 @@
   }
 }
 
-/** Shows the list whenever it changed; the last one stays in force while it cannot be read. */
+/**
+ * Polls the list and calls `show` whenever it has changed. The last list stays in force
+ * while it cannot be read. Returns a function that stops the polling.
+ */
 export function pollBoxList(
   list: BoxList,
   intervalMs: number,
@@ -29,17 +32,17 @@
   show: (leaving: ReadonlySet<string>) => void
 ): () => void {
   let last = ""
-  let troubled = false
+  let failing = false
   const poll = async (): Promise<void> => {
     try {
       const leaving = await list.leaving()
-      troubled = false
+      failing = false
       const text = [...leaving].sort().join("\n")
       if (text !== last) show(leaving)
       last = text
     } catch (cause) {
-      if (!troubled) log("box-list-trouble", {reason: (cause as Error).message})
-      troubled = true
+      if (!failing) log("box-list-trouble", {reason: (cause as Error).message})
+      failing = true
     }
   }
   void poll()
--- a/src/adapters/box-strength.ts
+++ b/src/adapters/box-strength.ts
@@ -1,20 +1,23 @@
-/** What the processor of a box can do beside those of other boxes: a weak one leads only for as long as it has to. */
+/**
+ * Compares the processor capacity of a box with that of the other boxes. A weak box is
+ * leader only for as long as no stronger box can take over.
+ */
 
-/** What the strongest box can do, as long as nobody has told, in cores. */
-const USUAL_CAPACITY = 1
+/** Assumed capacity of the strongest box until a leader has reported it, in cores. */
+const DEFAULT_CAPACITY = 1
 
-/** A weak leader gives the lead up to a stronger box that follows, after so long, milliseconds. */
-const WEAK_LEAD_MS = 2_000
+/** A weak leader resigns in favour of a stronger box after this time. */
+const WEAK_LEADERSHIP_MS = 2_000
 
-/** A box with less than this part of the strongest one's processor is weak. */
+/** A box is weak if its capacity is below this share of the strongest box's. */
 const WEAK_SHARE = 0.6
 
 export class BoxStrength {
-  /** The most that any box can do, in cores. */
-  top = USUAL_CAPACITY
-  private leadsFrom_ = 0
+  /** The highest capacity of all boxes, in cores. */
+  top = DEFAULT_CAPACITY
+  private leaderSince_ = 0
 
-  /** `capacity`: what this box can do, in cores; 0: it does not tell. */
+  /** `capacity`: processor capacity of this box, in cores. 0 means unknown. */
   constructor(readonly capacity: number) {}
 
   get isWeak(): boolean {
@@ -22,11 +25,11 @@
   }
 
   beginLead(now: number): void {
-    this.leadsFrom_ = now
+    this.leaderSince_ = now
   }
 
-  /** Whether a stronger box is to lead in its place. */
+  /** Whether this box should resign as leader in favour of a stronger one. */
   leadsTooLong(now: number): boolean {
-    return this.isWeak && now - this.leadsFrom_ > WEAK_LEAD_MS
+    return this.isWeak && now - this.leaderSince_ > WEAK_LEADERSHIP_MS
   }
 }
