--- a/src/adapters/leader-election.ts
+++ b/src/adapters/leader-election.ts
@@ -1,4 +1,4 @@
-/** Finds the leader in the key-value service, or becomes it. */
+/** Leader election by a leased key in the key-value service. */
 import {KvUnavailable, KvUnknown} from "../errors.js"
 import {
   type Claim,
@@ -20,50 +20,59 @@
 import {callAs} from "./store-counter.js"
 import type {StoreEras} from "./era-source.js"
 
-const RENEW_MS = 300
+const RENEW_INTERVAL_MS = 300
 
-/** How often a box without a leader looks for one, at first and with few boxes, milliseconds. */
-const LOOK_MS = 250
+/** Interval at which a box without a leader reads the leader's key, with few boxes. */
+const LOOK_INTERVAL_MS = 250
 
 /**
- * The same for each box there is: all of them together look some 100 times a second, which finds a
- * lapsed lease within 10 ms whatever their number.
+ * The same interval for each box, with many boxes: all of them together read the key some
+ * 100 times a second, which detects an expired lease within 10 ms whatever their number.
  */
-const LOOK_BOX_MS = 8
+const LOOK_INTERVAL_PER_BOX_MS = 8
 
-/** Boxes that find no leader claim the lead after a random part of this, milliseconds. */
+/** Boxes that find no leader claim the leadership after a random part of this time. */
 const CLAIM_SCATTER_MS = 200
 
 /**
- * Boxes that run for less than half as long as most claim within the first part of the scatter:
- * where boxes are restarted in turn, these have had theirs. A lead that moves on with each restart
- * spends most of its time waiting for its first order. One that has just started may fail again.
+ * In a rolling restart, boxes whose process is younger than this share of the median age
+ * claim within the first part of the scatter, as they have already been restarted.
+ * Otherwise the leadership would move on with each restart, and leaders would spend most
+ * of their time waiting for their first order. Boxes that started less than `SETTLED_MS`
+ * ago are not preferred, as they may fail again.
  */
 const YOUNG_AGE_SHARE = 0.5
 const YOUNG_SCATTER_SHARE = 0.3
 const SETTLED_MS = 2_000
 
 /**
- * Boxes much weaker than others leave the claim to these until all of them have looked, and some, milliseconds. A
- * leader tells all boxes of all engines: one that can't keep up is late with everything.
+ * Boxes much weaker than others delay their claim until all boxes have read the key, and
+ * by this time more. A leader sends the state of all engines to all boxes; one that
+ * cannot keep up delays everything.
  */
-const WEAK_WAIT_MS = 150
+const WEAK_CLAIM_DELAY_MS = 150
 
-/** Between two tries to claim the lead again in a new era, milliseconds. */
-const CONFIRM_MS = 50
+/** Interval of the attempts to claim the leadership again in a new era. */
+const CONFIRM_INTERVAL_MS = 50
 
-/** A lease that may have run out while the machine was suspended is renewed within this, or given up, milliseconds. */
-const RENEW_AGAIN_MS = 400
+/**
+ * A lease that may have expired while the machine was suspended is renewed within this
+ * time; otherwise the leadership ends.
+ */
+const EXPIRED_RENEW_MS = 400
 
-/** A renewal that has no answer after this is asked of other boxes, too, milliseconds. */
+/**
+ * Other boxes are asked to renew the lease, too, if the service has not answered after
+ * this time.
+ */
 const HELP_AFTER_MS = 150
 
 interface Renewal {
   /** Whether the service still knew the lease. */
   readonly known: boolean
-  /** When the call that renewed it, or the wish for it, went out. */
+  /** When the call that renewed the lease, or the request to other boxes, was sent. */
   readonly sentAt: number
-  readonly helped: boolean
+  readonly byOthers: boolean
 }
 
 export interface ElectionOptions extends LeadershipOptions {
@@ -75,19 +84,22 @@
 export interface ElectionEvents {
   readonly won: (fence: number) => void
   readonly lost: (reason: string) => void
-  /** The era rose while this box led: it orders no more until `confirmed`. */
+  /**
+   * The store was restored while this box was leader: it sends no orders until
+   * `confirmed`.
+   */
   readonly doubted: () => void
   readonly confirmed: (fence: number) => void
   readonly found: (leader: LeaderRecord) => void
-  /** How many boxes there are, as far as is known. */
+  /** The last known number of boxes. */
   readonly boxes: () => number
-  /** Since the processes of half of the boxes started, as far as is known, milliseconds. */
+  /** The last known median age of the boxes' processes, milliseconds. */
   readonly medianAgeMs: (now: number) => number
-  /** Whether other boxes can do much more than this one. */
+  /** Whether this box has much less processor capacity than others. */
   readonly isWeak: () => boolean
-  /** Has another box renew the lease; rejects where none can. */
+  /** Has other boxes renew the lease. Rejects if none could. */
   readonly renewElsewhere: (lease: string) => Promise<boolean>
-  /** The lease is now renewed by other boxes, or by this one again. */
+  /** Reports whether the lease is now renewed by other boxes or by this one again. */
   readonly helped: (helped: boolean) => void
 }
 
@@ -95,11 +107,13 @@
   readonly leadership = createLeadership()
   private stopped_ = false
   private timer_: NodeJS.Timeout | undefined
-  /** Whether the box needs no look at the key now: it hears the leader. */
-  private settled_ = false
+  /**
+   * Whether the box has a link to the leader, so that it need not read the leader's key.
+   */
+  private linked_ = false
   private busy_ = false
-  private helped_ = false
-  /** Until then a lease that has run out by the clock may still be renewed. */
+  private renewedByOthers_ = false
+  /** Until then a lease that has expired by the clock may still be renewed. */
   private renewUntil_ = -Infinity
   private readonly startedAt_ = clockNow()
 
@@ -108,144 +122,162 @@
     private readonly options_: ElectionOptions,
     private readonly events_: ElectionEvents
   ) {
-    this.later(0)
+    this.scheduleTurn(0)
   }
 
-  /** The box hears its leader, or no longer. */
+  /** Sets whether the box has a link to the leader. */
   settle(settled: boolean): void {
-    this.settled_ = settled
+    this.linked_ = settled
   }
 
-  /** The store came back from an older copy, which may not hold the lease of this box. */
+  /**
+   * Suspends the leadership after a restore of the store, whose backup may lack this
+   * box's lease.
+   */
   doubt(): void {
     if (this.leadership.fence === undefined) return
     suspendLeadership(this.leadership)
     this.events_.doubted()
     if (this.busy_) return
     clearTimeout(this.timer_)
-    this.later(0)
+    this.scheduleTurn(0)
   }
 
   /**
-   * The machine may have been suspended, or its time of day was set. The lease may have run out: it is renewed
-   * before the lead is given up, and no order leaves until then.
+   * Handles a possible suspension of the machine or change of its clock, after which the
+   * lease may have expired. Tries to renew it before the leadership ends; no order is
+   * sent until then.
    */
   doubtLease(): void {
     if (this.leadership.fence === undefined || isLeader(this.leadership, clockNow()))
       return
-    this.renewUntil_ = clockNow() + RENEW_AGAIN_MS
+    this.renewUntil_ = clockNow() + EXPIRED_RENEW_MS
     if (this.busy_) return
     clearTimeout(this.timer_)
-    this.later(0)
+    this.scheduleTurn(0)
   }
 
-  /** Gives the lead up if it has it, so that another box need not wait for the lease. */
+  /**
+   * Stops the election. Revokes the lease, so that the next leader need not wait for its
+   * expiry.
+   */
   async stop(): Promise<void> {
     this.stopped_ = true
     clearTimeout(this.timer_)
     const {lease} = this.leadership
-    this.end("stopping")
+    this.loseLeadership("stopping")
     if (lease !== undefined)
-      await this.as("lease-end")
+      await this.storeAs("lease-end")
         .revokeLease(lease)
         .catch(() => undefined)
   }
 
-  /** Gives the lead up to a box that can do more. */
+  /** Ends the leadership in favour of a stronger box. */
   resign(): void {
     const {lease} = this.leadership
     if (lease === undefined) return
-    this.end("a stronger box is there")
-    void this.as("lease-end")
+    this.loseLeadership("a stronger box is there")
+    void this.storeAs("lease-end")
       .revokeLease(lease)
       .catch(() => undefined)
   }
 
-  private as(caller: StoreCaller): KvStore {
+  private storeAs(caller: StoreCaller): KvStore {
     return callAs(this.kv_, {caller})
   }
 
-  private later(ms: number): void {
-    this.timer_ = setTimeout(() => void this.turn(), ms)
+  private scheduleTurn(ms: number): void {
+    this.timer_ = setTimeout(() => void this.runTurn(), ms)
   }
 
-  private async turn(): Promise<void> {
+  private async runTurn(): Promise<void> {
     if (this.stopped_ || this.busy_) return
     this.busy_ = true
     try {
-      if (this.leadership.fence !== undefined) await this.hold()
-      else if (!this.settled_) await this.look()
+      if (this.leadership.fence !== undefined) await this.keepLeadership()
+      else if (!this.linked_) await this.lookForLeader()
     } catch (cause) {
       if (!(cause instanceof KvUnavailable || cause instanceof KvUnknown)) throw cause
     } finally {
       this.busy_ = false
     }
     this.check()
-    if (!this.stopped_) this.later(this.pauseMs())
+    if (!this.stopped_) this.scheduleTurn(this.intervalMs())
   }
 
-  private pauseMs(): number {
+  private intervalMs(): number {
     const {fence, confirmed} = this.leadership
-    if (fence === undefined) return this.lookMs()
-    return confirmed && isLeader(this.leadership, clockNow()) ? RENEW_MS : CONFIRM_MS
+    if (fence === undefined) return this.lookIntervalMs()
+    return confirmed && isLeader(this.leadership, clockNow())
+      ? RENEW_INTERVAL_MS
+      : CONFIRM_INTERVAL_MS
   }
 
-  private hold(): Promise<void> {
+  private keepLeadership(): Promise<void> {
     return this.leadership.confirmed ? this.renew() : this.confirm()
   }
 
-  private lookMs(): number {
-    return Math.max(LOOK_MS, this.events_.boxes() * LOOK_BOX_MS)
+  private lookIntervalMs(): number {
+    return Math.max(LOOK_INTERVAL_MS, this.events_.boxes() * LOOK_INTERVAL_PER_BOX_MS)
   }
 
-  /** Ends the lead by the own clock, whatever call still waits. */
+  /**
+   * Ends the leadership if the lease has expired by this box's clock, even if a call is
+   * pending.
+   */
   check(): void {
     const now = clockNow()
     if (this.leadership.fence === undefined || isLeader(this.leadership, now)) return
-    if (now >= this.renewUntil_) this.end("lease ran out")
+    if (now >= this.renewUntil_) this.loseLeadership("lease ran out")
   }
 
   private async renew(): Promise<void> {
     const {lease} = this.leadership
     if (lease === undefined) return
     const sentAt = clockNow()
-    const own = this.as("lease-renew")
+    const own = this.storeAs("lease-renew")
       .keepAlive(lease)
-      .then(known => ({known, sentAt, helped: false}))
-    const renewal = await firstOf([own, this.askHelp(own, lease)])
+      .then(known => ({known, sentAt, byOthers: false}))
+    const renewal = await firstOf([own, this.renewByOthers(own, lease)])
     if (this.leadership.lease !== lease) return
-    if (renewal.helped !== this.helped_) this.events_.helped(renewal.helped)
-    this.helped_ = renewal.helped
-    // The lease is of the era before: what counts is who claims first in the new one.
+    if (renewal.byOthers !== this.renewedByOthers_) this.events_.helped(renewal.byOthers)
+    this.renewedByOthers_ = renewal.byOthers
+    // The lease belongs to the previous era: the first claim of the new era decides.
     if (!this.leadership.confirmed) return
-    if (!renewal.known) return this.end("lease is gone")
-    // It counts from when the box that renewed was asked, so that its way shortens it only.
+    if (!renewal.known) return this.loseLeadership("lease is gone")
+    // The lease counts from when the request was sent, so transit time can only shorten
+    // it.
     extendLease(this.leadership, renewal.sentAt, this.options_)
   }
 
-  /** Where the service does not answer this box soon, others may reach it. */
-  private async askHelp(own: Promise<Renewal>, lease: string): Promise<Renewal> {
+  /**
+   * Asks other boxes to renew the lease if the service does not answer this box in time.
+   */
+  private async renewByOthers(own: Promise<Renewal>, lease: string): Promise<Renewal> {
     const answer = await Promise.race([own.catch(() => undefined), pause(HELP_AFTER_MS)])
     if (answer) return answer
     const sentAt = clockNow()
     const known = await this.events_.renewElsewhere(lease)
-    return {known, sentAt, helped: true}
+    return {known, sentAt, byOthers: true}
   }
 
   /**
-   * Claims the lead again in the new era. The copy may hold the claim of an earlier leader, whose lease
-   * had ended before this one's began; a claim of the new era is another's, who was first.
+   * Claims the leadership again in the new era. The backup may hold the claim of an
+   * earlier leader, whose lease ended before this box's began; that claim is replaced. A
+   * claim that another box made in the new era wins.
    */
   private async confirm(): Promise<void> {
     const {key, ttlMs} = this.options_
-    const kv = this.as("lead-confirm")
+    const kv = this.storeAs("lead-confirm")
     const sentAt = clockNow()
     const lease = await kv.grantLease(ttlMs)
     const entry = await kv.get(key)
-    const fence = this.isTaken(entry) ? undefined : await this.claim(kv, lease, entry)
+    const fence = this.isClaimedByOther(entry)
+      ? undefined
+      : await this.claim(kv, lease, entry)
     if (this.leadership.fence === undefined || fence === undefined) {
       void kv.revokeLease(lease).catch(() => undefined)
-      return this.end("the store came back without its lease")
+      return this.loseLeadership("the store came back without its lease")
     }
     confirmLeadership(
       this.leadership,
@@ -256,7 +288,7 @@
     this.events_.confirmed(fence)
   }
 
-  private isTaken(entry: KvEntry | undefined): boolean {
+  private isClaimedByOther(entry: KvEntry | undefined): boolean {
     if (!entry) return false
     const {incarnation, era} = JSON.parse(entry.value) as LeaderRecord
     return era === entry.era && incarnation !== this.options_.self.incarnation
@@ -266,8 +298,8 @@
     return {fence, lease, sentAt, eraBegunBy: this.options_.eras.known?.begunBy}
   }
 
-  private async look(): Promise<void> {
-    const entry = await this.as("leader-look").get(this.options_.key)
+  private async lookForLeader(): Promise<void> {
+    const entry = await this.storeAs("leader-look").get(this.options_.key)
     if (this.stopped_) return
     if (!entry) return this.claimLater()
     const leader = JSON.parse(entry.value) as LeaderRecord
@@ -277,19 +309,19 @@
   private async claimLater(): Promise<void> {
     await new Promise(resolve => setTimeout(resolve, this.claimDelayMs()))
     if (this.stopped_) return
-    const kv = this.as("leader-claim")
+    const kv = this.storeAs("leader-claim")
     const sentAt = clockNow()
     const lease = await kv.grantLease(this.options_.ttlMs)
     const fence = await this.claim(kv, lease, undefined)
     if (fence === undefined) {
-      void this.as("lease-end")
+      void this.storeAs("lease-end")
         .revokeLease(lease)
         .catch(() => undefined)
       return
     }
     const now = clockNow()
     if (this.stopped_)
-      return void this.as("lease-end")
+      return void this.storeAs("lease-end")
         .revokeLease(lease)
         .catch(() => undefined)
     beginLeadership(
@@ -299,7 +331,7 @@
       this.options_
     )
     if (isLeader(this.leadership, now)) this.events_.won(fence)
-    else this.end("claim took too long")
+    else this.loseLeadership("claim took too long")
   }
 
   private claimDelayMs(): number {
@@ -308,10 +340,15 @@
     const young =
       age > SETTLED_MS && age < YOUNG_AGE_SHARE * this.events_.medianAgeMs(now)
     const scatter = Math.random() * CLAIM_SCATTER_MS * (young ? YOUNG_SCATTER_SHARE : 1)
-    return scatter + (this.events_.isWeak() ? this.lookMs() + WEAK_WAIT_MS : 0)
+    return (
+      scatter + (this.events_.isWeak() ? this.lookIntervalMs() + WEAK_CLAIM_DELAY_MS : 0)
+    )
   }
 
-  /** The fence of a claim in place of what stood there; undefined: another was first. */
+  /**
+   * Replaces the `standing` entry by a claim. Returns its fence; undefined if another box
+   * was first.
+   */
   private async claim(
     kv: KvStore,
     lease: string,
@@ -329,14 +366,14 @@
       return result.ok ? toFence(result) : undefined
     } catch (cause) {
       if (!(cause instanceof KvUnknown)) throw cause
-      // The claim may have been taken though its answer was lost.
+      // The claim may have been stored although its answer was lost.
       const entry = await kv.get(key)
       const taken = entry?.value === value && entry.era === era
       return taken ? toFence(entry) : undefined
     }
   }
 
-  private end(reason: string): void {
+  private loseLeadership(reason: string): void {
     if (this.leadership.fence === undefined) return
     endLeadership(this.leadership, clockNow())
     this.events_.lost(reason)
--- a/src/adapters/leader-session.ts
+++ b/src/adapters/leader-session.ts
@@ -1,4 +1,4 @@
-/** A box's session with its leader: the link, and what the leader tells over it. */
+/** A box's session with its leader: keeps the link and handles the leader's messages. */
 import {
   createLinkDelay,
   type LinkDelay,
@@ -17,18 +17,21 @@
 import {callAs} from "./store-counter.js"
 import type {StoreEras} from "./era-source.js"
 
-/** A link on which the leader says nothing for so long is given up, milliseconds. */
+/** A link on which the leader has been silent for this time is closed. */
 const LINK_SILENCE_MS = 1_200
 
-/** The same where pings are far between, in pings: by then the lease of a leader that stands still has ended. */
-const SILENT_PINGS = 2
+/**
+ * The same limit in ping intervals, where these are long. By then the lease of a leader
+ * whose process is paused has expired.
+ */
+const MAX_SILENT_PINGS = 2
 
 export interface LeaderSessionOptions {
-  /** This box, as other boxes know it. */
+  /** The record under which other boxes know this box. */
   readonly self: LeaderRecord
-  /** What its processor can do, in cores. */
+  /** Processor capacity of this box, in cores. */
   readonly capacity: number
-  /** When its process started. */
+  /** When the process of this box started. */
   readonly startedAt: number
   readonly kv: KvStore
   readonly news: NewsSource
@@ -36,17 +39,17 @@
   readonly eras: StoreEras
   readonly post: (event: RoutedEvent) => void
   readonly boxes: () => number
-  /** The box stops: it follows nobody new. */
+  /** Whether the box is stopping and follows no new leader. */
   readonly closed: () => boolean
-  /** The leader told a configuration. */
+  /** Called when the leader has sent a configuration. */
   readonly configured: () => void
-  /** The link to a leader that had answered is down. */
+  /** Called when the link to a leader that had answered is down. */
   readonly lost: () => void
-  /** A message of the leader's is about to be taken. */
+  /** Called before a message of the leader is handled. */
   readonly hearing: () => void
-  /** The most that the processor of any box can do, in cores. */
+  /** Called with the highest processor capacity of all boxes, in cores. */
   readonly strongest: (capacity: number) => void
-  /** So long ago the processes of half of the boxes had started, milliseconds. */
+  /** Called with the median age of the boxes' processes. */
   readonly pinged: (medianAgeMs: number) => void
   readonly log: Log
 }
@@ -55,13 +58,13 @@
   private link_: LeaderLink | undefined
   private leader_: LeaderRecord | undefined
   private linked_ = false
-  /** Of the link; undefined: no message that tells its time has come. */
+  /** Delay of the link. Undefined until a message with a timestamp has arrived. */
   private delay_: LinkDelay | undefined
-  private pongAt_ = 0
+  private nextPongAt_ = 0
 
   constructor(private readonly options_: LeaderSessionOptions) {}
 
-  /** Whom this box follows, or tries to. */
+  /** The leader that this box follows or tries to link to. */
   get leader(): LeaderRecord | undefined {
     return this.leader_
   }
@@ -79,13 +82,13 @@
     this.link_?.close()
   }
 
-  /** Gives a silent link up, and says from time to time that this box lives. */
+  /** Closes a silent link, and sends a heartbeat if one is due. */
   tick(now: number, leading: boolean): void {
-    const every = pingMs(this.options_.boxes())
-    const silence = Math.max(LINK_SILENCE_MS, SILENT_PINGS * every)
-    if (this.link_ && this.link_.silentMs > silence) this.link_.close()
-    if (leading || now < this.pongAt_) return
-    this.pongAt_ = now + every
+    const intervalMs = pingMs(this.options_.boxes())
+    const maxSilenceMs = Math.max(LINK_SILENCE_MS, MAX_SILENT_PINGS * intervalMs)
+    if (this.link_ && this.link_.silentMs > maxSilenceMs) this.link_.close()
+    if (leading || now < this.nextPongAt_) return
+    this.nextPongAt_ = now + intervalMs
     this.send({t: "pong"})
   }
 
@@ -113,7 +116,7 @@
           log("leader-linked", {leader: leader.box})
           post({type: "leader-new"})
         }
-        this.take(this.addWay(message, link.greetedAt))
+        this.handleMessage(this.addTransitTime(message, link.greetedAt))
       }
     })
     this.link_ = link
@@ -134,24 +137,24 @@
     }
   }
 
-  /** The message, with ages as they are now: what it spent on its way is added. */
-  private addWay(message: FromLeader, greetedAt: number): FromLeader {
+  /** Returns the message with its transit time added to the ages that it carries. */
+  private addTransitTime(message: FromLeader, greetedAt: number): FromLeader {
     if (!("sentAt" in message) || message.sentAt === undefined) return message
     const {sentAt} = message
     const now = clockNow()
     const delay = this.delay_ ?? createLinkDelay(greetedAt, sentAt)
     this.delay_ = recordMessage(delay, sentAt, now)
-    const wayMs = transitMs(this.delay_, sentAt, now)
-    if (message.t !== "ping") return {...message, ageMs: message.ageMs + wayMs}
+    const delayMs = transitMs(this.delay_, sentAt, now)
+    if (message.t !== "ping") return {...message, ageMs: message.ageMs + delayMs}
     const {newsAgeMs, configAgeMs = Infinity} = message
     return {
       ...message,
-      newsAgeMs: newsAgeMs + wayMs,
-      configAgeMs: configAgeMs + wayMs
+      newsAgeMs: newsAgeMs + delayMs,
+      configAgeMs: configAgeMs + delayMs
     }
   }
 
-  private take(message: FromLeader): void {
+  private handleMessage(message: FromLeader): void {
     const {news, post, configured} = this.options_
     if (news.takeNews(message)) {
       if (message.t === "config") configured()
@@ -159,7 +162,7 @@
     }
     switch (message.t) {
       case "renew":
-        return void this.renew(message.ask, message.lease)
+        return void this.renewLease(message.ask, message.lease)
       case "engines":
         return post({type: "engines", engines: message.engines})
       case "places":
@@ -185,15 +188,15 @@
       case "may-retry":
         return post({type: "may-retry", id: message.request, allowed: message.allowed})
       case "ping":
-        return this.takePing(message)
+        return this.handlePing(message)
     }
   }
 
-  private takePing(ping: Extract<FromLeader, {t: "ping"}>): void {
+  private handlePing(ping: Extract<FromLeader, {t: "ping"}>): void {
     const {news, help, eras, post, pinged, strongest} = this.options_
     pinged(ping.medianAgeMs)
     if (ping.topCapacity !== undefined) strongest(ping.topCapacity)
-    // Before the age of the leader's news: a reading of a new era proves less.
+    // Before the snapshot age, as a store read in a new era is weaker evidence.
     if (ping.storeEra) eras.hear(ping.storeEra)
     post({type: "orders", hasLeader: true, inMs: ping.ordersInMs})
     const {newsAgeMs, configAgeMs = Infinity} = ping
@@ -202,8 +205,8 @@
     post({type: "boxes", boxes: ping.boxes})
   }
 
-  /** Renews the leader's lease, which the store does not let it renew itself. */
-  private async renew(ask: number, lease: string): Promise<void> {
+  /** Renews the lease of a leader that cannot reach the store itself. */
+  private async renewLease(ask: number, lease: string): Promise<void> {
     const {kv, log} = this.options_
     try {
       const known = await callAs(kv, {caller: "lease-help"}).keepAlive(lease)
