--- a/src/adapters/leader-backends.ts
+++ b/src/adapters/leader-backends.ts
@@ -1,4 +1,4 @@
-/** What a leader tells of backend servers, for the box that hears it. */
+/** Handles the lists of backend servers that a box receives from its leader. */
 import type {StoreRead} from "../core/backend-list.js"
 import type {ServingEvent} from "../core/serving-events.js"
 import type {FromLeader} from "../types/box-messages.js"
@@ -7,58 +7,76 @@
 
 export type LeaderBackends = Extract<FromLeader, {t: "backends"}>
 
-/** A list of the leader's is whole: what it holds in doubt is among it. Else it tells differences. */
+/**
+ * Converts a leader's message to events: one for a full list, or one for each changed
+ * server. A full list also holds the servers that the leader keeps without being sure of
+ * them.
+ */
 export function toBackendEvents(
   {records, whole, gone, ageMs}: LeaderBackends,
   now: number
 ): ServingEvent[] {
-  const reading: StoreRead = {source: "box", readAt: now - ageMs}
-  if (whole) return [{type: "backends", records, reading}]
+  const storeRead: StoreRead = {source: "box", readAt: now - ageMs}
+  if (whole) return [{type: "backends", records, reading: storeRead}]
   return [
     ...records.map(record => ({
       type: "backend" as const,
       id: record.id,
       record,
-      reading
+      reading: storeRead
     })),
-    ...gone.map(id => ({type: "backend" as const, id, record: undefined, reading}))
+    ...gone.map(id => ({
+      type: "backend" as const,
+      id,
+      record: undefined,
+      reading: storeRead
+    }))
   ]
 }
 
 /**
- * The servers as the leader last told them. A box that lists for itself for a while and finds just
- * these has nothing to ask its leader: most boxes do so at once where its link is narrow, and all that
- * it would tell them again costs it its lease.
+ * The servers as the leader last sent them. A box that has read the list from the store
+ * for a while, and found the same servers, need not request them from its leader again.
+ * Otherwise most boxes would request them at once, and a leader with little bandwidth
+ * would lose its lease while it sends them.
  */
 export class ToldBackends {
-  private readonly told_ = new Map<string, BackendRecord>()
-  /** The box has taken other news of servers since its leader told all of them. */
-  private strayed_ = true
+  private readonly records_ = new Map<string, BackendRecord>()
+  /**
+   * Whether the box has applied other updates of servers since the leader's last full
+   * list.
+   */
+  private diverged_ = true
 
   get strayed(): boolean {
-    return this.strayed_
+    return this.diverged_
   }
 
   take({records, whole, gone}: LeaderBackends): void {
     if (whole) {
-      this.told_.clear()
-      this.strayed_ = false
+      this.records_.clear()
+      this.diverged_ = false
     }
-    for (const record of records) this.told_.set(record.id, record)
-    for (const id of gone) this.told_.delete(id)
+    for (const record of records) this.records_.set(record.id, record)
+    for (const id of gone) this.records_.delete(id)
   }
 
-  /** The box took this list, which is not its leader's. */
+  /**
+   * Compares a list from another source, which the box has applied, with the leader's.
+   */
   compare(records: readonly BackendRecord[]): void {
     const same = records.every(record => {
-      const told = this.told_.get(record.id)
-      return told !== undefined && isAlike(told, record)
+      const sent = this.records_.get(record.id)
+      return sent !== undefined && isAlike(sent, record)
     })
-    if (!same || records.length !== this.told_.size) this.strayed_ = true
+    if (!same || records.length !== this.records_.size) this.diverged_ = true
   }
 
-  /** The box took what cannot be compared, or passed over what its leader told. */
+  /**
+   * Records that the box applied an update that cannot be compared, or ignored one of its
+   * leader.
+   */
   stray(): void {
-    this.strayed_ = true
+    this.diverged_ = true
   }
 }
--- a/src/adapters/leader-way.ts
+++ b/src/adapters/leader-way.ts
@@ -1,6 +1,6 @@
 /**
- * What passes between the requests of a box and its leader: over the link, or within the process where this
- * box leads itself.
+ * Passes messages between a box and its leader: over the link, or within the process if
+ * this box is the leader itself.
  */
 import {batchIntervalMs} from "../core/placement-updates.js"
 import type {RoutedEffect, RoutedEvent} from "../core/serving-events.js"
@@ -12,7 +12,7 @@
 type GrantEffect = Extract<RoutedEffect, {type: "send-grants"}>
 
 export interface LeaderWayOptions {
-  /** This box, as leaders know it. */
+  /** The incarnation under which leaders know this box. */
   readonly box: string
   readonly post: (event: RoutedEvent) => void
   /** Sends to the leader that this box follows, if there is one. */
@@ -20,46 +20,46 @@
   /** The links of the boxes that follow this one. */
   readonly hub: () => BoxHub | undefined
   readonly leading: () => boolean
-  /** Whether this box leads for sure, by its own clock. */
+  /** Whether this box is the confirmed leader by its own clock. */
   readonly mayGive: () => boolean
   readonly boxes: () => number
 }
 
 export class LeaderWay {
-  private readonly uses_ = new UseCounts()
+  private readonly useCounts_ = new UseCounts()
 
   constructor(private readonly options_: LeaderWayOptions) {}
 
-  /** Performs an effect; false: it does not concern the leader. */
+  /** Performs an effect. Returns false if it does not concern the leader. */
   perform(effect: RoutedEffect): boolean {
-    return this.toLeader(effect) || this.fromLeader(effect)
+    return this.performToLeader(effect) || this.performFromLeader(effect)
   }
 
-  private toLeader(effect: RoutedEffect): boolean {
+  private performToLeader(effect: RoutedEffect): boolean {
     const {box} = this.options_
     switch (effect.type) {
       case "need":
-        this.tell({t: "need", need: effect.need}, {...effect, box})
+        this.sendToLeader({t: "need", need: effect.need}, {...effect, box})
         return true
       case "drop":
-        this.tell({t: "drop", request: effect.request}, {...effect, box})
+        this.sendToLeader({t: "drop", request: effect.request}, {...effect, box})
         return true
       case "use":
-        if (this.uses_.add(effect.change)) this.flushLater()
+        if (this.useCounts_.add(effect.change)) this.scheduleFlush()
         return true
       case "missing": {
         const {engine, adapter, late} = effect
-        this.tell({t: "missing", engine, adapter, late}, effect)
+        this.sendToLeader({t: "missing", engine, adapter, late}, effect)
         return true
       }
       case "ask-retry": {
         const {id, service} = effect
-        this.tell({t: "ask-retry", request: id, service}, {...effect, box})
+        this.sendToLeader({t: "ask-retry", request: id, service}, {...effect, box})
         return true
       }
       case "usage": {
         const {ask, entries} = effect
-        this.tell({t: "usage", ask, entries}, {type: "usage", box, ask, entries})
+        this.sendToLeader({t: "usage", ask, entries}, {type: "usage", box, ask, entries})
         return true
       }
       case "rate-news":
@@ -68,12 +68,12 @@
         return true
       case "send-asks": {
         const {asks} = effect
-        this.tell({t: "send-asks", asks}, {type: "send-asks", box, asks})
+        this.sendToLeader({t: "send-asks", asks}, {type: "send-asks", box, asks})
         return true
       }
       case "sent-lately": {
         const {sent} = effect
-        this.tell({t: "sent-lately", sent}, {type: "sent-lately", box, sent})
+        this.sendToLeader({t: "sent-lately", sent}, {type: "sent-lately", box, sent})
         return true
       }
       case "crashes":
@@ -85,7 +85,7 @@
     }
   }
 
-  private fromLeader(effect: RoutedEffect): boolean {
+  private performFromLeader(effect: RoutedEffect): boolean {
     const {box, post, hub} = this.options_
     switch (effect.type) {
       case "retry": {
@@ -101,11 +101,11 @@
         return true
       }
       case "allow":
-        // The lead may have ended since it was asked.
-        if (this.options_.mayGive()) this.allow(effect)
+        // The leadership may have ended since the box sent its request.
+        if (this.options_.mayGive()) this.sendAllowances(effect)
         return true
       case "send-grants":
-        if (this.options_.mayGive()) this.grant(effect)
+        if (this.options_.mayGive()) this.sendGrants(effect)
         return true
       case "places":
       case "loads":
@@ -117,33 +117,40 @@
     }
   }
 
-  private allow({box, ask, grants}: AllowEffect): void {
+  private sendAllowances({box, ask, grants}: AllowEffect): void {
     const {post, hub} = this.options_
     if (box === this.options_.box) post({type: "allowances", ask, grants})
     else hub()?.allow(box, ask, grants)
   }
 
-  private grant({box, grants}: GrantEffect): void {
+  private sendGrants({box, grants}: GrantEffect): void {
     const {post, hub} = this.options_
     if (box === this.options_.box) post({type: "send-grants", grants})
     else hub()?.grantSends(box, grants)
   }
 
-  private tell(message: ToLeader, event: RoutedEvent): void {
+  private sendToLeader(message: ToLeader, event: RoutedEvent): void {
     if (this.options_.leading()) this.options_.post(event)
     else this.options_.send(message)
   }
 
-  /** Few boxes tell those of one turn: a place is free as soon as the leader knows. */
-  private flushLater(): void {
+  /**
+   * Sends the collected usage deltas after the batch interval. With few boxes that is the
+   * end of the current turn of the event loop: the leader can reuse a slot only once it
+   * knows that it is free.
+   */
+  private scheduleFlush(): void {
     const waitMs = batchIntervalMs(this.options_.boxes())
     if (waitMs === 0) setImmediate(() => this.flush())
     else setTimeout(() => this.flush(), waitMs)
   }
 
   private flush(): void {
-    const changes = this.uses_.drain()
+    const changes = this.useCounts_.drain()
     if (changes.length === 0) return
-    this.tell({t: "use", changes}, {type: "uses", box: this.options_.box, changes})
+    this.sendToLeader(
+      {t: "use", changes},
+      {type: "uses", box: this.options_.box, changes}
+    )
   }
 }
