--- a/src/adapters/lease-help.ts
+++ b/src/adapters/lease-help.ts
@@ -1,46 +1,50 @@
 /**
- * Renews the lease of a leader through the boxes that follow it. The key-value service may turn away
- * the one box that leads, or be cut off from it alone; to lose the lead for that would leave cold
- * weights unserved until the next leader may order, five seconds where engines check no fences.
- * Measured with 21 boxes, the leader cut off for 6.5 s of 34, together with a lead that is kept while
- * its box stops: 0.953 of the worth of all requests earned, in place of 0.916.
+ * Renews the lease of a leader through the boxes that follow it. The key-value service
+ * may reject only the leader's calls, or be unreachable only from the leader. If the
+ * leadership ended then, weights that are not loaded would stay unavailable until the
+ * next leader may order loads, five seconds where engines check no fences. With 21 boxes
+ * and the leader cut off for 6.5 s of 34 s, this and a leadership that is kept while its
+ * box stops raise the earned share of the worth of all requests from 0.916 to 0.953.
  */
 import {KvUnavailable} from "../errors.js"
 
-/** Boxes that are asked at once: some may be turned away, too. */
-const BOXES = 3
+/** Boxes that are asked at the same time, as the service may reject some of them, too. */
+const BOXES_PER_RENEWAL = 3
 
-/** An answer that takes longer than this comes too late for the lease, milliseconds. */
-const ANSWER_MS = 400
+/** An answer later than this comes too late to keep the lease. */
+const ANSWER_TIMEOUT_MS = 400
 
 export class LeaseHelp {
-  private asks_ = 0
+  private lastRequest_ = 0
   private readonly waiting_ = new Map<number, (known: boolean) => void>()
 
   constructor(
-    private readonly draw_: (count: number) => readonly string[],
-    private readonly ask_: (box: string, ask: number, lease: string) => void
+    private readonly drawBoxes_: (count: number) => readonly string[],
+    private readonly send_: (box: string, ask: number, lease: string) => void
   ) {}
 
-  /** Whether the lease was known when some box renewed it; rejects where none could. */
+  /**
+   * Returns whether the service still knew the lease when a box renewed it. Rejects if
+   * none could.
+   */
   renew(lease: string): Promise<boolean> {
-    const ask = ++this.asks_
-    const boxes = this.draw_(BOXES)
+    const request = ++this.lastRequest_
+    const boxes = this.drawBoxes_(BOXES_PER_RENEWAL)
     return new Promise((resolve, reject) => {
       const timer = setTimeout(() => {
-        this.waiting_.delete(ask)
+        this.waiting_.delete(request)
         reject(new KvUnavailable("no box could renew the lease"))
-      }, ANSWER_MS)
-      this.waiting_.set(ask, known => {
+      }, ANSWER_TIMEOUT_MS)
+      this.waiting_.set(request, known => {
         clearTimeout(timer)
-        this.waiting_.delete(ask)
+        this.waiting_.delete(request)
         resolve(known)
       })
-      for (const box of boxes) this.ask_(box, ask, lease)
+      for (const box of boxes) this.send_(box, request, lease)
     })
   }
 
-  /** A box answered; the first answer counts. */
+  /** Handles the answer of a box; the first answer counts. */
   answered(ask: number, known: boolean): void {
     this.waiting_.get(ask)?.(known)
   }
--- a/src/adapters/link-codec.ts
+++ b/src/adapters/link-codec.ts
@@ -1,34 +1,44 @@
 /**
- * Messages of links between boxes as bytes. What a leader tells many boxes repeats names of engines and
- * adapters: deflated it takes 0.45 of the bytes for what some ten engines changed and 0.3 for all that 42
- * engines hold (random names), at 0.1 ms of processor a message, which is packed once for all boxes. Many
- * boxes have narrow links, and a leader whose link is full loses its lease.
+ * Encodes messages of links between boxes. A leader's messages repeat names of engines
+ * and adapters. Deflate shrinks a delta of some ten engines to 0.45 of its bytes, and a
+ * full snapshot of 42 engines to 0.3 (random names), for 0.1 ms of processor time a
+ * message, which is packed once for all boxes. Many boxes have little bandwidth, and a
+ * leader whose link is saturated loses its lease.
  */
 import {deflateRawSync, inflateRawSync} from "node:zlib"
 import {Packr} from "msgpackr"
 
-/** Marks a deflated message: no message of the codec begins with it, and older boxes refuse it. */
+/**
+ * First byte of a deflated message. No `msgpackr` message begins with it, and older boxes
+ * reject it.
+ */
 const DEFLATED = 0xc1
 
-/** A shorter message gains less than a packet's headers cost, bytes. */
-const SHORTEST_BYTES = 400
+/**
+ * Shorter messages are not deflated: they would gain less than the size of a packet's
+ * headers.
+ */
+const MIN_DEFLATED_BYTES = 400
 
 const packr = new Packr({structuredClone: false})
 
-/** Packs a message as every box reads it. */
+/** Packs a message in the format that every box reads. */
 export function packPlain(message: object): Buffer {
   return packr.pack(message)
 }
 
-/** Packs a message for boxes that said that they read deflated ones. */
+/** Packs a message for boxes that announced support for deflated messages. */
 export function packDeflated(message: object): Buffer {
   const plain = packPlain(message)
-  if (plain.length < SHORTEST_BYTES) return plain
+  if (plain.length < MIN_DEFLATED_BYTES) return plain
   return Buffer.concat([Buffer.from([DEFLATED]), deflateRawSync(plain, {level: 1})])
 }
 
-/** Unpacks either; throws where it is none, or would take more than so many bytes. */
-export function unpack(data: Buffer, mostBytes: number): unknown {
+/**
+ * Unpacks a plain or deflated message. Throws if it is invalid or inflates to more than
+ * `maxBytes`.
+ */
+export function unpack(data: Buffer, maxBytes: number): unknown {
   if (data[0] !== DEFLATED) return packr.unpack(data)
-  return packr.unpack(inflateRawSync(data.subarray(1), {maxOutputLength: mostBytes}))
+  return packr.unpack(inflateRawSync(data.subarray(1), {maxOutputLength: maxBytes}))
 }
--- a/src/adapters/loop.ts
+++ b/src/adapters/loop.ts
@@ -1,4 +1,4 @@
-/** The one loop of a process: events in, one transition at a time, effects out. */
+/** The event loop of a process: applies one event at a time and performs its effects. */
 import {type Scheduler, type Sink, type Source, Stream} from "most"
 import {clockNow} from "./clock.js"
 
@@ -11,16 +11,16 @@
   ) => {readonly state: State; readonly effects: readonly Effect[]}
   readonly perform: (effect: Effect) => void
   readonly makeTick: () => Event
-  /** When the next tick is due after the last; asked again after each event. */
+  /** Returns the time from the last tick to the next; called again after each event. */
   readonly tickMs: (state: State) => number
   readonly now: () => number
 }
 
 export interface Loop<State, Event> {
-  /** Takes an event at once, or after the one that is being taken. */
+  /** Handles an event at once, or after the events that are already queued. */
   readonly post: (event: Event) => void
   readonly state: () => State
-  /** Rejects when a transition or effect throws: the process should end. */
+  /** Rejects when a transition or effect throws; the process should end then. */
   readonly ended: Promise<void>
 }
 
@@ -36,16 +36,17 @@
     .tap(step => {
       state = step.state
       for (const effect of step.effects) options.perform(effect)
-      ticker.due(options.tickMs(state))
+      ticker.schedule(options.tickMs(state))
     })
     .drain()
-  ticker.due(options.tickMs(state))
+  ticker.schedule(options.tickMs(state))
   return {post: posts.post, state: () => state, ended: ended.then(() => undefined)}
 }
 
 /**
- * A stream of posted events. `fromEvent` would hand them on a turn later; here a decision and
- * its effects belong to the turn in which the event came, which the lease check relies on.
+ * A stream of posted events. `fromEvent` would deliver them one turn of the event loop
+ * later. The lease check relies on a decision and its effects running in the turn in
+ * which the event was posted.
  */
 class PostSource<Event> implements Source<Event> {
   private readonly queue_: Event[] = []
@@ -91,7 +92,10 @@
   }
 }
 
-/** One timer that is set anew only where a tick has become due earlier: wake-ups cost. */
+/**
+ * Timer for the next tick. It is reset only if a tick becomes due earlier, as wake-ups
+ * are expensive.
+ */
 class Ticker {
   private lastAt_ = clockNow()
   private dueAt_ = Infinity
@@ -99,8 +103,11 @@
 
   constructor(private readonly tick_: () => void) {}
 
-  /** The next tick comes so long after the last one, or as was said before if that is earlier. */
-  due(afterMs: number): void {
+  /**
+   * Schedules the next tick `afterMs` after the last one, unless an earlier one is
+   * scheduled.
+   */
+  schedule(afterMs: number): void {
     const at = this.lastAt_ + afterMs
     if (at >= this.dueAt_) return
     this.dueAt_ = at
