--- a/test/leader-strength.test.ts
+++ b/test/leader-strength.test.ts
@@ -1,4 +1,4 @@
-/** Which box leads where some can do much less than others. */
+/** Leader election among boxes with very different processor capacities. */
 import t from "tap"
 import {type BedBox, PlatformBed} from "./support/platform-bed.js"
 import {until} from "./support/wait.js"
@@ -6,8 +6,8 @@
 const WEAK = 0.3
 const STRONG = 1.3
 
-// Pattern: most boxes are weak, and a leader of many that can't keep up is late with everything.
-t.test("a strong box leads, and leads again after it was lost", async t => {
+// Guards against a weak leader: with many boxes it cannot keep up and delays everything.
+t.test("a strong box is elected, and again after its restart", async t => {
   const bed = await PlatformBed.start({
     boxes: 4,
     engines: 1,
@@ -19,7 +19,7 @@
   const leads = (): boolean => bed.leader() === strong
   await until("the strong box leads", leads, 10_000)
   await strong.child.end("SIGKILL")
-  await until("a weak box leads meanwhile", () => {
+  await until("a weak box leads in the meantime", () => {
     const leader = bed.leader()
     return leader !== undefined && leader !== strong
   })
@@ -28,7 +28,7 @@
   t.equal((await bed.call(strong, "/safe/x")).status, 200)
 })
 
-t.test("boxes that are alike, or do not tell, lead as they come", async t => {
+t.test("among boxes of equal or unknown capacity any one is elected", async t => {
   const bed = await PlatformBed.start({boxes: 2, engines: 1, plain: 1})
   t.teardown(() => bed.stop())
   t.ok(bed.leader())
--- a/test/lease-help.test.ts
+++ b/test/lease-help.test.ts
@@ -1,4 +1,7 @@
-/** A leader that the key-value service turns away goes on leading, by the help of other boxes. */
+/**
+ * A leader that the key-value service rejects stays leader, as other boxes renew its
+ * lease.
+ */
 import t from "tap"
 import {LeaseHelp} from "../src/adapters/lease-help.js"
 import {KvUnavailable} from "../src/errors.js"
@@ -6,9 +9,9 @@
 import {until} from "./support/wait.js"
 
 /** Longer than the leases of several renewals. */
-const TURNED_AWAY_MS = 3_000
+const REJECTED_MS = 3_000
 
-t.test("a leader that is turned away alone goes on placing weights", async t => {
+t.test("a leader whose calls alone are rejected goes on placing weights", async t => {
   const bed = await PlatformBed.start({boxes: 3, engines: 2, plain: 1, proxied: true})
   t.teardown(() => bed.stop())
   await until("all boxes follow the leader", () => {
@@ -17,22 +20,22 @@
   const leader = bed.leader() as BedBox
   leader.storeProxy?.set({refuse: true})
   leader.storeProxy?.cut()
-  await until("others renew its lease", () => /"event":188,/.test(bed.logs()))
+  await until("other boxes renew its lease", () => /"event":188,/.test(bed.logs()))
   const from = performance.now()
   const statuses = new Set<number>()
-  for (let i = 0; performance.now() - from < TURNED_AWAY_MS; i++) {
+  for (let i = 0; performance.now() - from < REJECTED_MS; i++) {
     const box = bed.boxes[i % 3] as BedBox
     const {status} = await bed.call(box, "/stream/x", {adapter: `new${i}`})
     statuses.add(status)
   }
-  t.same(statuses, new Set([200]), "cold weights are brought all the while")
-  t.notMatch(bed.logs(), /"event":185,/, "nobody lost the lead")
+  t.same(statuses, new Set([200]), "weights that are not loaded are loaded all the time")
+  t.notMatch(bed.logs(), /"event":185,/, "no box lost the leadership")
   leader.storeProxy?.set({refuse: false})
-  await until("it renews itself again", () => /"event":189,/.test(bed.logs()))
+  await until("it renews its lease again", () => /"event":189,/.test(bed.logs()))
   t.same(bed.judge.violations, [])
 })
 
-t.test("the first box that answers counts, and none is an error", async t => {
+t.test("the first answer counts, and no answer is an error", async t => {
   const asked: string[] = []
   const help = new LeaseHelp(
     () => ["a", "b"],
