--- a/src/adapters/admin-process.ts
+++ b/src/adapters/admin-process.ts
@@ -1,4 +1,4 @@
-/** The administration API: the only process that changes the configuration. */
+/** The process of the administration API, the only one that changes the configuration. */
 import {
   createServer,
   type IncomingMessage,
@@ -51,7 +51,11 @@
 
   constructor(private readonly context_: ProcessContext) {
     const {settings, kv, log} = context_
-    if (!settings.admin) throw new SedgeError("bad-request", "no admin settings")
+    if (!settings.admin)
+      throw new SedgeError(
+        "bad-request",
+        "settings.admin is missing: no admin settings for this box"
+      )
     this.settings_ = settings.admin
     this.ended = new Promise(resolve => (this.finish_ = resolve))
     const {prefix} = settings.kv
@@ -67,7 +71,7 @@
       pollProcesses: () => this.pollProcesses(),
       checkWeights: records => this.checkWeights(records)
     }
-    this.server_ = createServer((req, res) => void this.serve(req, res))
+    this.server_ = createServer((req, res) => void this.handleRequest(req, res))
   }
 
   async listen(): Promise<void> {
@@ -104,10 +108,10 @@
     this.server_.closeIdleConnections()
   }
 
-  private async serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  private async handleRequest(req: IncomingMessage, res: ServerResponse): Promise<void> {
     try {
       const {bootstrapKeyHash} = this.settings_
-      // A box that has just started may lack the operators' keys.
+      // Right after its start, a process may not have read the operators' keys yet.
       if (this.sync_.config.generation === 0)
         await this.sync_.read().catch(() => undefined)
       const operator = authenticateOperator(req, this.sync_.config, bootstrapKeyHash)
@@ -119,11 +123,11 @@
       }
       sendJson(res, 200, await routeAdmin(call, this.services_))
     } catch (cause) {
-      this.refuse(res, cause)
+      this.sendError(res, cause)
     }
   }
 
-  private refuse(res: ServerResponse, cause: unknown): void {
+  private sendError(res: ServerResponse, cause: unknown): void {
     if (cause instanceof ChangeConflict) {
       const problem = {...toProblem(cause), conflicts: cause.conflicts}
       return sendJson(res, problem.status, problem)
@@ -156,12 +160,14 @@
   private async pollProcesses(): Promise<readonly ProcessStatus[]> {
     const {keepers = new Map(), entries = new Map()} = this.view_ ?? {}
     const polls: Promise<ProcessStatus>[] = []
-    for (const [name, record] of keepers) polls.push(this.pollOne(name, "keeper", record))
-    for (const [name, record] of entries) polls.push(this.pollOne(name, "entry", record))
+    for (const [name, record] of keepers)
+      polls.push(this.pollProcess(name, "keeper", record))
+    for (const [name, record] of entries)
+      polls.push(this.pollProcess(name, "entry", record))
     return Promise.all(polls)
   }
 
-  private async pollOne(
+  private async pollProcess(
     process: string,
     role: string,
     {ops, dataCentre}: ProcessRecord
@@ -177,7 +183,7 @@
         role,
         dataCentre,
         generation: state.generation,
-        versionsInUse: versionsOf(state)
+        versionsInUse: findVersionsInUse(state)
       }
     } catch {
       return {process, role, dataCentre, versionsInUse: []}
@@ -185,13 +191,13 @@
   }
 }
 
-/** The part of a process's state that is read here. */
+/** The part of a process's `/state` answer that is used here. */
 interface ProcessState {
   readonly generation: number
   readonly cells?: readonly {readonly engines: readonly {readonly models: object}[]}[]
 }
 
-function versionsOf({cells = []}: ProcessState): string[] {
+function findVersionsInUse({cells = []}: ProcessState): string[] {
   const models = cells.flatMap(cell =>
     cell.engines.flatMap(engine => Object.keys(engine.models))
   )
--- a/src/adapters/admin-routes.ts
+++ b/src/adapters/admin-routes.ts
@@ -1,4 +1,4 @@
-/** The administration API's routes: what each takes, needs and answers. */
+/** Routes of the administration API, with the roles that they require. */
 import type {IncomingMessage} from "node:http"
 import {findRecord} from "../core/configuration.js"
 import {findDifference} from "../core/difference.js"
@@ -33,29 +33,29 @@
   readonly sync: ConfigSync
   readonly writer: ConfigWriter
   readonly cellSize: number
-  /** What each process says of itself. */
+  /** Requests the status of each process. */
   readonly pollProcesses: () => Promise<readonly ProcessStatus[]>
-  /** Checks weights in the store; a finding for each that is missing. */
+  /** Returns the JSON pointers of weights that are missing in the weight store. */
   readonly checkWeights: (
     records: readonly ProposedRecord[]
   ) => Promise<readonly string[]>
 }
 
-/** One process of a box, as an operator sees it. */
+/** Status of a process of a box, for operators. */
 export interface ProcessStatus {
   readonly process: string
   readonly role: string
   readonly dataCentre: string
-  /** The configuration in force there; undefined when it did not answer. */
+  /** Generation of the configuration in force. Undefined if there was no answer. */
   readonly generation?: number
   readonly versionsInUse: readonly string[]
 }
 
-/** Changes that need the role `approve`: what decides over live traffic. */
+/** Records that affect live traffic. Changes of them require the role `approve`. */
 const APPROVAL_KINDS: ReadonlySet<RecordKind> = new Set(["activation", "operator"])
 const BOOTSTRAP = "bootstrap"
 
-/** The operator whose key a call carries. */
+/** Returns the operator that a request's key belongs to, or throws `unauthorized`. */
 export function authenticateOperator(
   req: IncomingMessage,
   config: Configuration,
@@ -74,7 +74,7 @@
   throw new SedgeError("unauthorized")
 }
 
-/** Answers a call, or rejects with an error of the table. */
+/** Returns the answer to a call, or rejects with a `SedgeError`. */
 export async function routeAdmin(
   call: AdminCall,
   services: AdminServices
@@ -84,7 +84,7 @@
     .filter(part => part !== "")
   if (version !== "v1") throw new SedgeError("not-found", call.url.pathname)
   const names = rest.map(decodeURIComponent)
-  if (call.method === "GET") need(call.operator, "read")
+  if (call.method === "GET") requireRole(call.operator, "read")
   switch (resource) {
     case "records":
       return routeRecords(call, services, names)
@@ -156,7 +156,7 @@
   proposal: Proposal
 ): Promise<object> {
   for (const {kind} of proposal.records) {
-    need(operator, APPROVAL_KINDS.has(kind) ? "approve" : "change")
+    requireRole(operator, APPROVAL_KINDS.has(kind) ? "approve" : "change")
   }
   const missing = await services.checkWeights(proposal.records)
   if (missing.length > 0) {
@@ -176,7 +176,7 @@
   return {...accepted, dryRun}
 }
 
-/** Which versions engines serve; only asked for when one is to be retired. */
+/** Returns the versions that engines serve, or an empty set if no version is retired. */
 async function versionsInUse(
   services: AdminServices,
   {records}: Proposal
@@ -227,7 +227,7 @@
   return {generation, inForceEverywhere: inForce, processes}
 }
 
-function need({roles, name}: Operator, role: OperatorRole): void {
+function requireRole({roles, name}: Operator, role: OperatorRole): void {
   if (!roles.includes(role))
     throw new SedgeError("forbidden", `${name} lacks the role ${role}`)
 }
