--- a/src/adapters/caller-requests.ts
+++ b/src/adapters/caller-requests.ts
@@ -1,4 +1,4 @@
-/** Reads and checks what callers send; everything wrong with it is an error of the table. */
+/** Parses and validates callers' requests. Invalid ones throw a `SedgeError`. */
 import type {IncomingMessage} from "node:http"
 import * as z from "zod"
 import {findRecord, findOrganisationByKey, resolveModel} from "../core/configuration.js"
@@ -9,7 +9,7 @@
 import type {AnswerMode} from "./exchange.js"
 import {toFindings} from "./settings-file.js"
 
-/** Headers of sedgeglade's own. See docs/protocols/callers.md. */
+/** Headers defined by sedgeglade, see docs/protocols/callers.md. */
 export const CLASS_HEADER = "x-sedge-class"
 export const DEADLINE_HEADER = "x-sedge-deadline-ms"
 export const NOT_REPEATABLE_HEADER = "x-sedge-not-repeatable"
@@ -21,14 +21,14 @@
 ])
 const SERVICE_PATH = /^\/services\/([^/?]+)(\/.*)?$/
 const MAX_KEY_LENGTH = 255
-/** Higher goes first at the engines, which honour priorities; lower numbers first, as published. */
+/** The `priority` sent to engines, which run requests with lower numbers first. */
 const PRIORITIES: Readonly<Record<RequestClass, number>> = {
   till: 0,
   merchant: 10,
   overnight: 100
 }
 
-/** Only what is needed here; the rest of the body is the engine's business. */
+/** The fields used here; all others are passed to the engine unchanged. */
 const completionSchema = z.looseObject({
   model: z.string().min(1),
   stream: z.boolean().optional(),
@@ -37,9 +37,9 @@
 
 type CompletionBody = z.infer<typeof completionSchema>
 
-/** The header that tells engines the name of a prompt's start; their cache events use it. */
+/** Header with the identifier of a prompt's prefix, which engines use in cache events. */
 const PREFIX_HEADER = "x-sedge-prefix"
-/** How much of a prompt has a name: about the shared instructions of an organisation's requests. */
+/** Prefix length, about that of the instructions shared by an organisation's requests. */
 const PREFIX_CHARS = 1_024
 
 export interface ParsedRequest {
@@ -50,7 +50,7 @@
   readonly body: Buffer
 }
 
-/** The organisation a request comes from, by its key. */
+/** Returns the organisation that the key of a request belongs to. */
 export function authenticate(req: IncomingMessage, config: Configuration): string {
   if (config.generation === 0) throw new SedgeError("not-ready", "", 1_000)
   const match = /^Bearer (\S+)$/.exec(req.headers.authorization ?? "")
@@ -60,12 +60,11 @@
   return organisation
 }
 
-/** Whether a path is one that callers may use. */
 export function isCallerPath(path: string): boolean {
   return MODEL_PATHS.has(path) || SERVICE_PATH.test(path)
 }
 
-/** A whole request as the core takes it. */
+/** Parses a request with its complete body. */
 export function parseRequest(
   req: IncomingMessage,
   body: Buffer,
@@ -83,7 +82,7 @@
   return parseCompletion(req, body, arrival, config)
 }
 
-type Common = Omit<Arrival, "target" | "streamed">
+type CommonArrival = Omit<Arrival, "target" | "streamed">
 
 function parseHeaders(
   req: IncomingMessage,
@@ -91,10 +90,11 @@
   config: Configuration
 ): Pick<Arrival, "class" | "repeatable" | "key" | "patienceMs"> {
   const allowed = findRecord(config, "organisation", organisation)?.value.classes ?? []
-  const asked = headerOf(req, CLASS_HEADER) ?? allowed[0] ?? "overnight"
-  const requestClass = REQUEST_CLASSES.find(name => name === asked)
-  if (!requestClass) throw new SedgeError("bad-request", `unknown class ${asked}`)
-  if (!allowed.includes(requestClass)) throw new SedgeError("forbidden", `class ${asked}`)
+  const className = headerOf(req, CLASS_HEADER) ?? allowed[0] ?? "overnight"
+  const requestClass = REQUEST_CLASSES.find(name => name === className)
+  if (!requestClass) throw new SedgeError("bad-request", `unknown class ${className}`)
+  if (!allowed.includes(requestClass))
+    throw new SedgeError("forbidden", `class ${className}`)
   const key = headerOf(req, KEY_HEADER)
   if (key !== undefined && (key === "" || key.length > MAX_KEY_LENGTH)) {
     throw new SedgeError(
@@ -122,7 +122,7 @@
 function parseService(
   req: IncomingMessage,
   body: Buffer,
-  arrival: Common,
+  arrival: CommonArrival,
   match: RegExpExecArray
 ): ParsedRequest {
   const [, service = "", path = "/"] = match
@@ -141,7 +141,7 @@
 function parseCompletion(
   req: IncomingMessage,
   body: Buffer,
-  arrival: Common,
+  arrival: CommonArrival,
   config: Configuration
 ): ParsedRequest {
   if (req.method !== "POST") throw new SedgeError("bad-request", "use POST")
@@ -154,7 +154,7 @@
   const resolved = resolveModel(config, model)
   const owner =
     resolved && findRecord(config, "adapter", resolved.adapter)?.value.organisation
-  // Another firm's adapter is not even named as existing.
+  // Whether another organisation has such an adapter is not disclosed.
   if (!resolved || owner !== arrival.organisation)
     throw new SedgeError("unknown-model", model)
   const outgoing = {
@@ -163,7 +163,7 @@
     // Cached prefixes are never shared between organisations.
     cache_salt: shortHash(`cache\n${arrival.organisation}`)
   }
-  const prefix = namePrefix(outgoing.cache_salt, parsed.data)
+  const prefix = hashPrefix(outgoing.cache_salt, parsed.data)
   const target = {kind: "model", model} as const
   return {
     arrival: {...arrival, streamed: stream === true, target, prefix},
@@ -174,8 +174,8 @@
   }
 }
 
-/** A name for the start of a prompt within an organisation's part of the prefix caches. */
-function namePrefix(salt: string, {model, prompt, messages}: CompletionBody): string {
+/** Returns the identifier of a prompt's prefix, which is unique to the organisation. */
+function hashPrefix(salt: string, {model, prompt, messages}: CompletionBody): string {
   const text = typeof prompt === "string" ? prompt : JSON.stringify(messages ?? prompt)
   return shortHash(`${salt}\n${model}\n${(text ?? "").slice(0, PREFIX_CHARS)}`)
 }
--- a/src/adapters/caller-server.ts
+++ b/src/adapters/caller-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP/1.1 server callers reach: limits, bodies, hang-ups. */
+/** The HTTP/1.1 server for callers, with its limits on headers, bodies and time. */
 import {
   createServer,
   type IncomingMessage,
@@ -13,17 +13,17 @@
   readonly maxBodyBytes: number
   readonly headerTimeoutMs: number
   readonly bodyTimeoutMs: number
-  /** Takes a request whose body has arrived. */
+  /** Handles a request whose body is complete. */
   readonly take: (req: IncomingMessage, res: ServerResponse, body: Buffer) => void
-  /** Refuses before the body is read, by throwing. */
+  /** Called before the body is read; throws to reject the request. */
   readonly check: (req: IncomingMessage) => void
 }
 
 const MAX_HEADER_BYTES = 16 << 10
-/** How often Node looks for connections past their time. */
+/** How often Node checks for connections past their header or request timeout. */
 const TIMEOUT_CHECK_MS = 500
 
-/** A server that is not listening yet. */
+/** Creates the server without listening. */
 export function createCallerServer(options: CallerServerOptions): Server {
   const server = createServer(
     {
@@ -33,13 +33,13 @@
       maxHeaderSize: MAX_HEADER_BYTES,
       keepAliveTimeout: 30_000
     },
-    (req, res) => void receive(req, res, options)
+    (req, res) => void handleRequest(req, res, options)
   )
-  server.on("clientError", refuseBadBytes)
+  server.on("clientError", handleClientError)
   return server
 }
 
-async function receive(
+async function handleRequest(
   req: IncomingMessage,
   res: ServerResponse,
   options: CallerServerOptions
@@ -50,16 +50,16 @@
     if (body) options.take(req, res, body)
   } catch (cause) {
     const error = cause instanceof SedgeError ? cause : new SedgeError("bad-request")
-    // What is left of the body is not read.
+    // The rest of the body is not read, so the connection cannot be reused.
     if (!req.complete) res.setHeader("connection", "close")
     sendProblem(res, error)
   }
 }
 
-/** The whole body; undefined when the caller hung up before its end. */
+/** Reads the body. Resolves to undefined if the caller disconnected before its end. */
 function readBody(req: IncomingMessage, limit: number): Promise<Buffer | undefined> {
-  const announced = Number(req.headers["content-length"] ?? 0)
-  if (announced > limit)
+  const contentLength = Number(req.headers["content-length"] ?? 0)
+  if (contentLength > limit)
     return Promise.reject(new SedgeError("body-too-large", `over ${limit}`))
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = []
@@ -75,8 +75,8 @@
   })
 }
 
-/** Answers bytes that are no request, or came too slowly. */
-function refuseBadBytes(error: NodeJS.ErrnoException, socket: Socket): void {
+/** Answers malformed requests and requests that timed out. */
+function handleClientError(error: NodeJS.ErrnoException, socket: Socket): void {
   if (!socket.writable) return void socket.destroy()
   const code: ErrorCode =
     error.code === "ERR_HTTP_REQUEST_TIMEOUT" ? "request-timeout" : "bad-request"
--- a/src/adapters/cancel.ts
+++ b/src/adapters/cancel.ts
@@ -1,9 +1,9 @@
-/** Asks an engine to end one attempt. Its pin stays until the engine has confirmed. */
+/** Cancels attempts on engines. An attempt stays pinned until the engine confirms. */
 import {type Dispatcher, request} from "undici"
 
 const TIMEOUT_MS = 2_000
 
-/** Whether it is certain that the engine does not run the attempt. */
+/** Cancels an attempt. Resolves to whether the engine certainly does not run it. */
 export async function cancelAttempt(
   dispatcher: Dispatcher,
   address: string,
@@ -20,7 +20,7 @@
     await answer.body.dump()
     return answer.statusCode === 200
   } catch (cause) {
-    // Nothing listens there: the engine ended, and with it all it was doing.
+    // A refused connection means that the engine has ended, with all its attempts.
     return (cause as NodeJS.ErrnoException).code === "ECONNREFUSED"
   }
 }
--- a/src/adapters/request-body.ts
+++ b/src/adapters/request-body.ts
@@ -1,7 +1,10 @@
-/** Bodies of callers' requests. */
+/** Reads bodies of callers' requests. */
 import type {IncomingMessage} from "node:http"
 
-/** The whole body; callers' bodies are small, and a whole one can be sent again. */
+/**
+ * Reads the whole body, which is small and is sent again in a retry. Resolves to null if
+ * it is empty and to "gone" if the caller disconnected.
+ */
 export async function readWholeBody(
   req: IncomingMessage,
   limit: number
