--- a/src/adapters/config-compact.ts
+++ b/src/adapters/config-compact.ts
@@ -1,4 +1,4 @@
-/** Keeps the configuration's log short: a snapshot in parts, then what lies before it goes. */
+/** Compacts the configuration log: writes a snapshot, then removes older entries. */
 import {listRecords} from "../core/configuration.js"
 import type {KvStore} from "../ports/ports.js"
 import type {SnapshotRecord} from "../types/config.js"
@@ -10,14 +10,16 @@
 } from "./config-sync.js"
 import {KEYS} from "./platform-mirror.js"
 
-/** Changes after which a new snapshot is made. */
-const SNAPSHOT_EVERY = 500
-/** Log entries kept before a snapshot, for nodes that are a little behind. */
-const KEPT_BEFORE = 100
-/** Below the service's limit of 1 MB a value, with room for its encoding. */
+const SNAPSHOT_INTERVAL_CHANGES = 500
+/** Older log entries are kept for processes that are slightly behind. */
+const CHANGES_KEPT_BEFORE_SNAPSHOT = 100
+/** The key-value service limits values to 1 MB; this leaves room for the encoding. */
 const MAX_PART_BYTES = 500_000
 
-/** Makes a snapshot when one is due. Two boxes doing so at once write the same parts. */
+/**
+ * Writes a snapshot in parts if one is due, and resolves to whether it did. Boxes that
+ * do so at the same time write identical parts.
+ */
 export async function compactLog(
   kv: KvStore,
   prefix: string,
@@ -26,7 +28,8 @@
   const {config} = sync
   const pointer = await kv.get(prefix + KEYS.snapshot)
   const last = pointer ? (JSON.parse(pointer.value) as SnapshotPointer) : undefined
-  if (config.generation - (last?.generation ?? 0) < SNAPSHOT_EVERY) return false
+  if (config.generation - (last?.generation ?? 0) < SNAPSHOT_INTERVAL_CHANGES)
+    return false
   const parts = splitRecords(listRecords(config))
   for (const [part, records] of parts.entries()) {
     const key = prefix + snapshotPartKey(config.generation, part)
@@ -40,7 +43,7 @@
   if (!result.ok) return false
   await kv.removeRange(
     prefix + KEYS.configLog,
-    prefix + configLogKey(Math.max(0, config.generation - KEPT_BEFORE))
+    prefix + configLogKey(Math.max(0, config.generation - CHANGES_KEPT_BEFORE_SNAPSHOT))
   )
   if (last) await removeParts(kv, prefix, last)
   return true
--- a/src/adapters/config-sync.ts
+++ b/src/adapters/config-sync.ts
@@ -1,4 +1,4 @@
-/** Brings a process up to date with the accepted configuration, from the service or from peers. */
+/** Synchronises the accepted configuration from the key-value service or from peers. */
 import type {ConfigPage} from "../types/messages.js"
 import type {ConfigChange, Configuration, SnapshotRecord} from "../types/config.js"
 import type {KvStore} from "../ports/ports.js"
@@ -12,10 +12,10 @@
 import type {Log} from "./log.js"
 import {KEYS} from "./platform-mirror.js"
 
-/** Changes kept to bring peers up to date; one further behind gets the whole state. */
+/** Changes kept for peers; a peer further behind gets a full snapshot. */
 const RECENT_CHANGES = 256
 const GENERATION_DIGITS = 12
-/** How often the log is read even if nobody said that it grew. */
+/** How often the log is read without a notification of a new generation. */
 const POLL_MS = 5_000
 const FIRST_RETRY_MS = 250
 const LONGEST_RETRY_MS = 4_000
@@ -26,7 +26,7 @@
   readonly parts: number
 }
 
-/** The key of a generation's log entry, below the deployment's prefix. */
+/** Returns the key of a generation's log entry, relative to the deployment's prefix. */
 export function configLogKey(generation: number): string {
   return KEYS.configLog + String(generation).padStart(GENERATION_DIGITS, "0")
 }
@@ -38,15 +38,15 @@
 export class ConfigSync {
   private config_: Configuration = emptyConfiguration()
   private recent_: readonly ConfigChange[] = []
-  private wanted_ = 0
-  private reading_: Promise<void> | undefined
+  private targetGeneration_ = 0
+  private pendingRead_: Promise<void> | undefined
   private timer_: NodeJS.Timeout | undefined
 
   constructor(
     private readonly kv_: KvStore,
     private readonly prefix_: string,
     private readonly log_: Log,
-    private readonly apply_: (config: Configuration) => void
+    private readonly onConfig_: (config: Configuration) => void
   ) {}
 
   get config(): Configuration {
@@ -66,29 +66,30 @@
     clearInterval(this.timer_)
   }
 
-  /** Somebody has seen this generation: the log is read until it is in force here. */
+  /** Reads the log until the given generation is in force. */
   want(generation: number): void {
-    if (generation <= this.config_.generation || generation <= this.wanted_) return
-    this.wanted_ = generation
-    void this.readUntilWanted()
+    if (generation <= this.config_.generation || generation <= this.targetGeneration_)
+      return
+    this.targetGeneration_ = generation
+    void this.readUntilTarget()
   }
 
-  /** Reads what the log has beyond this process's state. */
+  /** Reads and applies new log entries; concurrent calls share one read. */
   read(): Promise<void> {
-    this.reading_ ??= this.readLog().finally(() => (this.reading_ = undefined))
-    return this.reading_
+    this.pendingRead_ ??= this.readLog().finally(() => (this.pendingRead_ = undefined))
+    return this.pendingRead_
   }
 
-  /** Takes a peer's answer; each change counts only if it follows on. */
+  /** Applies a peer's answer, up to the first gap in its generations. */
   takePage({changes, snapshot}: ConfigPage): void {
     if (snapshot && snapshot.generation > this.config_.generation) {
       this.recent_ = []
-      this.put(restoreSnapshot(snapshot.records, snapshot.generation))
+      this.setConfig(restoreSnapshot(snapshot.records, snapshot.generation))
     }
-    this.takeChanges(changes)
+    this.applyNewChanges(changes)
   }
 
-  /** What a peer at `after` lacks. */
+  /** Returns the changes after a generation, or a full snapshot if they are not kept. */
   pageAfter(after: number): ConfigPage {
     if (after >= this.config_.generation) return {t: "config-page", changes: []}
     const changes = this.recent_.filter(change => change.generation > after)
@@ -101,8 +102,8 @@
     }
   }
 
-  private async readUntilWanted(): Promise<void> {
-    for (let failures = 1; this.config_.generation < this.wanted_; failures++) {
+  private async readUntilTarget(): Promise<void> {
+    for (let failures = 1; this.config_.generation < this.targetGeneration_; failures++) {
       try {
         const before = this.config_.generation
         await this.read()
@@ -112,16 +113,16 @@
         await new Promise(done => setTimeout(done, pauseMs))
       }
     }
-    this.wanted_ = 0
+    this.targetGeneration_ = 0
   }
 
   private async readLog(): Promise<void> {
     const changes = await this.listAfter(this.config_.generation)
     const first = changes[0]
-    const behind = first !== undefined && first.generation > this.config_.generation + 1
-    const fresh = this.config_.generation === 0
-    if (behind || fresh) await this.readSnapshot()
-    this.takeChanges(changes)
+    const hasGap = first !== undefined && first.generation > this.config_.generation + 1
+    const isEmpty = this.config_.generation === 0
+    if (hasGap || isEmpty) await this.readSnapshot()
+    this.applyNewChanges(changes)
   }
 
   private async listAfter(generation: number): Promise<ConfigChange[]> {
@@ -140,15 +141,15 @@
     const records: SnapshotRecord[] = []
     for (let part = 0; part < parts; part++) {
       const entry = await this.kv_.get(this.prefix_ + snapshotPartKey(generation, part))
-      // A newer snapshot replaced it meanwhile; the next read finds that one.
+      // A newer snapshot has replaced this one; the next read finds it.
       if (!entry) return
       records.push(...(JSON.parse(entry.value) as SnapshotRecord[]))
     }
     this.recent_ = []
-    this.put(restoreSnapshot(records, generation))
+    this.setConfig(restoreSnapshot(records, generation))
   }
 
-  private takeChanges(changes: readonly ConfigChange[]): void {
+  private applyNewChanges(changes: readonly ConfigChange[]): void {
     const before = this.config_
     const next = applyChanges(before, changes)
     if (next === before) return
@@ -157,13 +158,13 @@
     )
     const byGeneration = [...applied].sort((a, b) => a.generation - b.generation)
     this.recent_ = [...this.recent_, ...byGeneration].slice(-RECENT_CHANGES)
-    this.put(next)
+    this.setConfig(next)
   }
 
-  private put(config: Configuration): void {
+  private setConfig(config: Configuration): void {
     if (config.generation <= this.config_.generation) return
     this.config_ = config
     this.log_("config-applied", {generation: config.generation})
-    this.apply_(config)
+    this.onConfig_(config)
   }
 }
--- a/src/adapters/config-writer.ts
+++ b/src/adapters/config-writer.ts
@@ -1,4 +1,4 @@
-/** Accepts changes: a change is accepted when its log entry is durable, and not before. */
+/** Accepts configuration changes. A change is accepted once its log entry is durable. */
 import {randomUUID} from "node:crypto"
 import {checkChange, type ChangeContext, type CheckedChange} from "../core/changes.js"
 import {KvUnavailable, SedgeError} from "../errors.js"
@@ -9,8 +9,8 @@
 import type {Log} from "./log.js"
 import {KEYS} from "./platform-mirror.js"
 
-/** How often a change is tried again after others came first. */
-const MAX_RACES = 20
+/** Attempts to append a change while concurrent changes take its generation. */
+const MAX_APPENDS = 20
 
 export interface AcceptedChange {
   readonly operation: string
@@ -23,7 +23,10 @@
   }
 }
 
-/** A change whose fate is open; the operation id settles it. */
+/**
+ * It is unknown whether a change was accepted. Looking up its operation id, or retrying
+ * with it, resolves this.
+ */
 export class ChangeUnknown extends SedgeError {
   constructor(readonly operation: string) {
     super(
@@ -42,7 +45,7 @@
     private readonly log_: Log
   ) {}
 
-  /** Accepts a proposal, or rejects with what is wrong with it. */
+  /** Accepts a proposal, or rejects with its conflicts or findings. */
   async accept(
     proposal: Proposal,
     operator: string,
@@ -51,10 +54,10 @@
   ): Promise<AcceptedChange> {
     const operation = proposal.operation ?? randomUUID()
     await this.readLog()
-    const done = proposal.operation && (await this.findOperation(operation))
-    if (done) return done
+    const previous = proposal.operation && (await this.findOperation(operation))
+    if (previous) return previous
     const seen = this.sync_.config.generation
-    for (let race = 0; race < MAX_RACES; race++) {
+    for (let attempt = 0; attempt < MAX_APPENDS; attempt++) {
       const {records, findings, conflicts} = checkChange(
         this.sync_.config,
         proposal.records,
@@ -75,16 +78,16 @@
         at: Date.now(),
         records
       }
-      if (await this.append(change)) return this.announce(change)
+      if (await this.append(change)) return this.publish(change)
       await this.readLog()
     }
     throw new SedgeError("conflict", "others kept coming first", 1_000)
   }
 
-  /** Where an operation stands in the log; undefined when it is not in it. */
+  /** Looks up an operation in the log. Resolves to undefined if it is not there. */
   async findOperation(operation: string): Promise<AcceptedChange | undefined> {
-    const known = this.sync_.recent.find(change => change.operation === operation)
-    if (known) return {operation, generation: known.generation}
+    const recent = this.sync_.recent.find(change => change.operation === operation)
+    if (recent) return {operation, generation: recent.generation}
     const {entries} = await this.kv_.list(this.prefix_ + KEYS.configLog)
     for (const {value} of entries) {
       const change = JSON.parse(value) as ConfigChange
@@ -102,7 +105,7 @@
     }
   }
 
-  /** False when another change has the generation. */
+  /** Resolves to false if another change already has this generation. */
   private async append(change: ConfigChange): Promise<boolean> {
     const key = this.prefix_ + configLogKey(change.generation)
     try {
@@ -112,33 +115,33 @@
       if (cause instanceof KvUnavailable) {
         throw new SedgeError("unavailable", cause.message, 2_000)
       }
-      return this.settle(key, change)
+      return this.resolveLostAnswer(key, change)
     }
   }
 
-  /** The answer was lost: what stands there tells, if it can be read. */
-  private async settle(key: string, change: ConfigChange): Promise<boolean> {
+  /** After a lost answer, reads the log entry to see whether the write took effect. */
+  private async resolveLostAnswer(key: string, change: ConfigChange): Promise<boolean> {
     try {
       const entry = await this.kv_.get(key)
       if (entry)
         return (JSON.parse(entry.value) as ConfigChange).operation === change.operation
     } catch {
-      // Falls through to what is said of an unknown outcome.
+      // The outcome stays unknown.
     }
     this.log_("change-unknown", {operation: change.operation})
     throw new ChangeUnknown(change.operation)
   }
 
-  /** Tells the watchers. Should that fail, they find the log entry when they next look. */
-  private async announce(change: ConfigChange): Promise<AcceptedChange> {
+  /** Notifies the watchers. If that fails, they find the log entry at their next poll. */
+  private async publish(change: ConfigChange): Promise<AcceptedChange> {
     const {operation, generation, operator} = change
     this.sync_.takePage({t: "config-page", changes: [change]})
     this.log_("change-accepted", {operation, generation, operator})
-    await this.raiseHead(generation).catch(() => undefined)
+    await this.advanceHead(generation).catch(() => undefined)
     return {operation, generation}
   }
 
-  private async raiseHead(generation: number): Promise<void> {
+  private async advanceHead(generation: number): Promise<void> {
     const key = this.prefix_ + KEYS.head
     for (;;) {
       const head = await this.kv_.get(key)
