--- a/src/adapters/engine-driver.ts
+++ b/src/adapters/engine-driver.ts
@@ -1,4 +1,4 @@
-/** Sends the leader's orders and questions to engines, under its lease. */
+/** Sends the leader's orders and report requests to engines while it holds its lease. */
 import type {FleetEffect, EngineReport, OrderResult} from "../core/placement-state.js"
 import type {FleetEvent, ServingEvent} from "../core/serving-events.js"
 import type {Dialect, EngineCall} from "../ports/fleet-ports.js"
@@ -11,15 +11,16 @@
 import {mapHeaders} from "./relay-exchange.js"
 
 /**
- * An engine answers an order within some ms. One without an answer may go out again at once, since
- * both carry the same count: waiting longer only keeps the engine's other loads back.
+ * Engines answer orders within a few milliseconds. An unanswered order can be retried at
+ * once, as both carry the same sequence number. A longer timeout would only delay the
+ * engine's other loads.
  */
 const ORDER_TIMEOUT_MS = 150
 const REPORT_TIMEOUT_MS = 600
 const CONNECTIONS = 4
 
-/** Of a finding, the characters that are logged. */
-const MAX_REASON = 300
+/** Limits the length of logged findings. */
+const MAX_REASON_CHARS = 300
 
 export interface DriverOptions {
   readonly dialect: Dialect
@@ -27,7 +28,7 @@
   readonly post: (event: FleetEvent | ServingEvent) => void
   readonly find: (engine: string) => BackendRecord | undefined
   readonly holder: string
-  /** The fence, if an order may leave in this very turn. */
+  /** Returns the fencing token. Undefined if no order may be sent in this turn. */
   readonly fence: () => number | undefined
   readonly log: Log
 }
@@ -35,47 +36,49 @@
 /** How a call to an engine ended. */
 type CallResult =
   | {readonly status: number; readonly body: string}
-  /** Nothing left this box; or it may have. */
+  /** No answer. `sent` is false if the call certainly did not leave this box. */
   | {readonly status: undefined; readonly sent: boolean}
 
 export class EngineDriver {
   constructor(private readonly options_: DriverOptions) {}
 
   perform(effect: FleetEffect): void {
-    if (effect.type === "order") this.order(effect)
-    else if (effect.type === "ask") this.ask(effect.engine)
+    if (effect.type === "order") this.sendOrder(effect)
+    else if (effect.type === "ask") this.requestReport(effect.engine)
   }
 
-  private order(effect: Extract<FleetEffect, {type: "order"}>): void {
+  private sendOrder(effect: Extract<FleetEffect, {type: "order"}>): void {
     const {engine, order, expectedSequence} = effect
     const {dialect, post, holder} = this.options_
-    const settle = (result: OrderResult): void =>
+    const reportResult = (result: OrderResult): void =>
       post({type: "order-result", engine, result})
     const fence = this.options_.fence()
-    if (fence === undefined) return later(() => settle("not-sent"))
+    if (fence === undefined) return defer(() => reportResult("not-sent"))
     const record = this.options_.find(engine)
-    if (!record) return later(() => settle("not-sent"))
+    if (!record) return defer(() => reportResult("not-sent"))
     const {server} = record
     const call = dialect.writeOrder(server, order, holder, fence, expectedSequence)
-    // The lease is looked at again when the bytes go: the connection may have come up late.
-    const allowed = (): boolean => this.options_.fence() === fence
-    this.call(record, call, ORDER_TIMEOUT_MS, allowed, result => {
-      if (result.status !== undefined) settle(dialect.readOrderResult(result.status))
-      else settle(result.sent ? "unknown" : "not-sent")
+    // The lease is checked again right before sending, as connecting may have taken long.
+    const canSend = (): boolean => this.options_.fence() === fence
+    this.call(record, call, ORDER_TIMEOUT_MS, canSend, result => {
+      if (result.status !== undefined)
+        reportResult(dialect.readOrderResult(result.status))
+      else reportResult(result.sent ? "unknown" : "not-sent")
     })
   }
 
-  private ask(engine: string): void {
+  private requestReport(engine: string): void {
     const {dialect, post, find} = this.options_
     const record = find(engine)
-    if (!record) return later(() => post({type: "report", engine, report: undefined}))
+    if (!record) return defer(() => post({type: "report", engine, report: undefined}))
     const call = dialect.askReport(record.server)
-    const take = (result: CallResult): void => {
+    const handleResult = (result: CallResult): void => {
       const report = this.readReport(engine, result)
-      if (report && isOfOtherLife(report, record)) post({type: "life-over", engine})
+      if (report && isOfOtherIncarnation(report, record))
+        post({type: "life-over", engine})
       else post({type: "report", engine, report})
     }
-    this.call(record, call, REPORT_TIMEOUT_MS, () => true, take)
+    this.call(record, call, REPORT_TIMEOUT_MS, () => true, handleResult)
   }
 
   private readReport(engine: string, result: CallResult): EngineReport | undefined {
@@ -84,7 +87,7 @@
       return this.options_.dialect.readReport(result.body)
     } catch (cause) {
       if (!(cause instanceof UnreadableEntry)) throw cause
-      const reason = cause.message.slice(0, MAX_REASON)
+      const reason = cause.message.slice(0, MAX_REASON_CHARS)
       this.options_.log("report-unreadable", {engine, reason})
       return undefined
     }
@@ -94,7 +97,7 @@
     {id, address}: BackendRecord,
     {method, path, headers, body}: EngineCall,
     timeoutMs: number,
-    allowed: () => boolean,
+    canSend: () => boolean,
     end: (result: CallResult) => void
   ): void {
     let ended = false
@@ -115,15 +118,15 @@
     const bytes = body === undefined ? null : Buffer.from(body)
     const options = {method, path, headers: [...headers], body: bytes}
     this.options_.pools.send(orderPool(id), address, CONNECTIONS, options, {
-      started: given => {
-        if (ended || !allowed()) return false
-        abort = given
+      started: abortRequest => {
+        if (ended || !canSend()) return false
+        abort = abortRequest
         sent = true
         return true
       },
-      head: (given, raw) => {
-        status = given
-        const notice = this.options_.dialect.readNotice(given, mapHeaders(raw))
+      head: (code, rawHeaders) => {
+        status = code
+        const notice = this.options_.dialect.readNotice(code, mapHeaders(rawHeaders))
         if (!notice || !hasNotice(notice)) return
         this.options_.post({type: "server-says", backend: id, notice})
       },
@@ -134,17 +137,20 @@
   }
 }
 
-/** Where the entry or the report tells no start, the report is taken as that of the life that was asked. */
-function isOfOtherLife({startedAt}: EngineReport, record: BackendRecord): boolean {
+/**
+ * Whether a report is of another incarnation than the record. Assumed to be the same if
+ * the report or the server's entry has no start time.
+ */
+function isOfOtherIncarnation({startedAt}: EngineReport, record: BackendRecord): boolean {
   if (startedAt === undefined || !hasIncarnationId(record)) return false
   return incarnationId(record.server, startedAt) !== record.id
 }
 
-function later(act: () => void): void {
-  setImmediate(act)
+function defer(action: () => void): void {
+  setImmediate(action)
 }
 
-/** The pool of an engine's orders: apart from its requests, which may take all connections. */
+/** Orders have their own pool, as requests may use all connections of theirs. */
 export function orderPool(engine: string): string {
   return `${engine} orders`
 }
--- a/src/adapters/engine-orders.ts
+++ b/src/adapters/engine-orders.ts
@@ -1,4 +1,4 @@
-/** Orders to model engines over their published HTTP conventions. See docs/protocols/engines.md. */
+/** Sends orders to model engines over their HTTP API, see docs/protocols/engines.md. */
 import {Agent, type Dispatcher, request} from "undici"
 import * as z from "zod"
 import type {EngineOrder} from "../core/cell-state.js"
@@ -12,14 +12,15 @@
 export interface OrderOptions {
   readonly orderTimeoutMs: number
   readonly loadTimeoutMs: number
-  /** Asked in the same turn as the bytes of an unload are handed to the socket. */
+  /** Called in the same turn in which an unload is written to the socket. */
   readonly mayEvict: () => boolean
+  /** Called when an unload was not sent because `mayEvict` returned false. */
   readonly onGuarded: () => void
 }
 
 const count = z.number().int().nonnegative()
 const cacheEvent = z.object({seq: count, prefix: z.string(), stored: z.boolean()})
-/** What comes with a list; a report that is not well formed is as good as none. */
+/** Reports that come with a list of models; malformed ones are ignored. */
 const reportSchema = z.object({
   load: z.object({running: count, waiting: count}).optional().catch(undefined),
   cache: z
@@ -34,15 +35,15 @@
   readonly body: Record<string, unknown>
 }
 
-/** Gives orders and says what came of them; never rejects. */
+/** Sends orders and returns their results; never rejects. */
 export class EngineOrders {
   private readonly agent_ = new Agent({connections: 8, keepAliveTimeout: 10_000})
-  private readonly guarded_: Dispatcher
+  private readonly unloadDispatcher_: Dispatcher
 
   constructor(private readonly options_: OrderOptions) {
-    this.guarded_ = this.agent_.compose(
+    this.unloadDispatcher_ = this.agent_.compose(
       dispatch => (opts, handler) =>
-        dispatch(opts, guardStart(handler, options_.mayEvict, options_.onGuarded))
+        dispatch(opts, checkBeforeSend(handler, options_.mayEvict, options_.onGuarded))
     )
   }
 
@@ -70,7 +71,7 @@
         "x-sedge-fence": String(target.fence)
       },
       ...(body && {body: JSON.stringify(body)}),
-      dispatcher: order.order === "unload" ? this.guarded_ : this.agent_,
+      dispatcher: order.order === "unload" ? this.unloadDispatcher_ : this.agent_,
       headersTimeout: 0,
       bodyTimeout: 0,
       signal: AbortSignal.timeout(timeoutMs)
@@ -103,7 +104,7 @@
 function toResult(order: EngineOrder, {status, notRun, body}: EngineAnswer): OrderResult {
   if (status === 200 && order.order === "list") return toList(body)
   if (status === 200) return {ok: true}
-  // An adapter that is not there is as good as unloaded.
+  // The adapter was not loaded, so the unload has nothing to do.
   if (status === 404 && order.order === "unload") return {ok: true}
   if (notRun === "no-slot") return {ok: false, reason: "no-slot"}
   if (notRun === "stale-fence") return {ok: false, reason: "stale-fence"}
@@ -133,23 +134,23 @@
   }
 }
 
-/** A handler that gives up just before the request would be written, when `may` says no. */
-function guardStart(
+/** Aborts a request right before it is written if `canSend` returns false. */
+function checkBeforeSend(
   handler: Dispatcher.DispatchHandler,
-  may: () => boolean,
-  onGuarded: () => void
+  canSend: () => boolean,
+  onBlocked: () => void
 ): Dispatcher.DispatchHandler {
   return {
     onRequestStart(controller, context) {
       handler.onRequestStart?.(controller, context)
-      if (may()) return
-      onGuarded()
-      controller.abort(new Error("the lease ran out"))
+      if (canSend()) return
+      onBlocked()
+      controller.abort(new Error("lease expired before the unload order was sent"))
     },
-    onRequestUpgrade: (...given) => handler.onRequestUpgrade?.(...given),
-    onResponseStart: (...given) => handler.onResponseStart?.(...given),
-    onResponseData: (...given) => handler.onResponseData?.(...given),
-    onResponseEnd: (...given) => handler.onResponseEnd?.(...given),
-    onResponseError: (...given) => handler.onResponseError?.(...given)
+    onRequestUpgrade: (...args) => handler.onRequestUpgrade?.(...args),
+    onResponseStart: (...args) => handler.onResponseStart?.(...args),
+    onResponseData: (...args) => handler.onResponseData?.(...args),
+    onResponseEnd: (...args) => handler.onResponseEnd?.(...args),
+    onResponseError: (...args) => handler.onResponseError?.(...args)
   }
 }
