--- a/src/adapters/entry-process.ts
+++ b/src/adapters/entry-process.ts
@@ -1,4 +1,4 @@
-/** The entry: callers on one side, keepers and backend servers on the other. */
+/** The entry process: connects callers with keepers and backend servers. */
 import {randomInt} from "node:crypto"
 import type {IncomingMessage, Server, ServerResponse} from "node:http"
 import {Agent} from "undici"
@@ -48,15 +48,19 @@
   private readonly exchanges_: Exchanges
   private readonly server_: Server
   private readonly registration_ = new AbortController()
-  private stopping_ = false
-  private draining_ = false
-  private ending_ = false
+  private isStopping_ = false
+  private isDraining_ = false
+  private isEnding_ = false
   private nextRequest_ = 1
   private finish_: () => void = () => undefined
 
   constructor(private readonly context_: ProcessContext) {
     const {settings, incarnation, kv, log} = context_
-    if (!settings.entry) throw new SedgeError("bad-request", "no entry settings")
+    if (!settings.entry)
+      throw new SedgeError(
+        "bad-request",
+        "settings.entry is missing: no entry settings for this box"
+      )
     this.settings_ = settings.entry
     const options: EntryOptions = {
       self: incarnation,
@@ -91,7 +95,7 @@
     )
     this.mirror_ = new PlatformMirror(kv, prefix, log, view => {
       this.sync_.want(view.generation)
-      this.wantKeepers([...view.keepers.values()].map(keeper => keeper.address))
+      this.linkKeepers([...view.keepers.values()].map(keeper => keeper.address))
       this.loop_.post({type: "shares", shares: view.shares})
     })
     this.exchanges_ = new Exchanges({
@@ -104,8 +108,8 @@
     })
     this.server_ = createCallerServer({
       ...this.settings_,
-      check: req => this.check(req),
-      take: (req, res, body) => this.take(req, res, body)
+      check: req => this.checkRequest(req),
+      take: (req, res, body) => this.handleRequest(req, res, body)
     })
   }
 
@@ -121,7 +125,7 @@
     })
     this.sync_.start()
     void this.sync_.read().catch(() => undefined)
-    this.wantKeepers([])
+    this.linkKeepers([])
     void this.mirror_.run()
     const record = {address: "", ops: this.settings_.ops, dataCentre: settings.dataCentre}
     const key = settings.kv.prefix + KEYS.entries + incarnation
@@ -142,13 +146,13 @@
     log("started", {listen: this.settings_.listen})
   }
 
-  /** First the balancer sees the entry is not ready; then it takes no more; then it ends. */
+  /** Reports "not ready" to the balancer, then stops accepting requests, then ends. */
   stop = (): void => {
-    if (this.draining_) return
-    this.draining_ = true
+    if (this.isDraining_) return
+    this.isDraining_ = true
     this.context_.log("stopping")
     setTimeout(() => {
-      this.stopping_ = true
+      this.isStopping_ = true
       this.server_.close()
       this.server_.closeIdleConnections()
       this.loop_.post({type: "stop"})
@@ -156,22 +160,22 @@
   }
 
   private isReady(): boolean {
-    return this.server_.listening && !this.draining_ && this.sync_.config.generation > 0
+    return this.server_.listening && !this.isDraining_ && this.sync_.config.generation > 0
   }
 
   // Callers
 
-  private check(req: IncomingMessage): void {
+  private checkRequest(req: IncomingMessage): void {
     const path = (req.url ?? "").split("?")[0] ?? ""
     if (!isCallerPath(path)) throw new SedgeError("not-found", path)
     authenticate(req, this.sync_.config)
   }
 
-  private take(req: IncomingMessage, res: ServerResponse, body: Buffer): void {
+  private handleRequest(req: IncomingMessage, res: ServerResponse, body: Buffer): void {
     const id = `${this.context_.incarnation}-${this.nextRequest_++}`
     const organisation = authenticate(req, this.sync_.config)
     const parsed = parseRequest(req, body, organisation, id, this.sync_.config)
-    if (this.draining_) res.setHeader("connection", "close")
+    if (this.isDraining_) res.setHeader("connection", "close")
     this.exchanges_.open(id, {...parsed, method: req.method ?? "POST"}, res)
     this.loop_.post({type: "arrive", arrival: parsed.arrival})
   }
@@ -209,11 +213,11 @@
     this.loop_.post({type: "cancelled", attempt, confirmed})
   }
 
-  // Peers and the end
+  // Peers and shutdown
 
-  /** Until the service has shown the keepers, those of the settings are tried. */
-  private wantKeepers(shown: readonly string[]): void {
-    this.peers_.want(new Set(shown.length > 0 ? shown : this.context_.settings.peers))
+  /** Links to the listed keepers, or to those in the settings if the list is empty. */
+  private linkKeepers(listed: readonly string[]): void {
+    this.peers_.want(new Set(listed.length > 0 ? listed : this.context_.settings.peers))
   }
 
   private describe(): object {
@@ -238,12 +242,12 @@
   }
 
   private async end(): Promise<void> {
-    if (this.ending_ || !this.stopping_) return
-    this.ending_ = true
+    if (this.isEnding_ || !this.isStopping_) return
+    this.isEnding_ = true
     const {kv, settings, incarnation, log} = this.context_
     log("stopped")
     this.registration_.abort()
-    // Nothing is in progress: nobody need wait for word of this entry.
+    // No request is in progress, so keepers need not wait for this entry to time out.
     await kv
       .remove(settings.kv.prefix + KEYS.entries + incarnation)
       .catch(() => undefined)
--- a/src/adapters/exchanges.ts
+++ b/src/adapters/exchanges.ts
@@ -1,4 +1,4 @@
-/** The callers' requests that are open at an entry, and what the core wants done with them. */
+/** The open requests of an entry's callers, and the core's effects on them. */
 import type {ServerResponse} from "node:http"
 import {findRecord} from "../core/configuration.js"
 import type {BackendResult, EntryEffect, EntryEvent} from "../core/entry-state.js"
@@ -20,8 +20,11 @@
   readonly post: (event: EntryEvent) => void
 }
 
-/** What a caller sent, as it is passed on. */
-type Passed = Pick<Exchange, "arrival" | "mode" | "method" | "path" | "headers" | "body">
+/** A caller's request as it is forwarded. */
+type ForwardedRequest = Pick<
+  Exchange,
+  "arrival" | "mode" | "method" | "path" | "headers" | "body"
+>
 
 export class Exchanges {
   private readonly relay_ = new Relay()
@@ -29,10 +32,10 @@
 
   constructor(private readonly options_: ExchangesOptions) {}
 
-  /** Keeps a request until its response is closed; a hang-up is told to the core. */
-  open(id: string, passed: Passed, res: ServerResponse): void {
+  /** Keeps a request until its response is closed. Reports if the caller disconnects. */
+  open(id: string, forwarded: ForwardedRequest, res: ServerResponse): void {
     this.open_.set(id, {
-      ...passed,
+      ...forwarded,
       res,
       receivedAt: clockNow(),
       replied: false,
@@ -55,7 +58,7 @@
   dispatch(effect: Extract<EntryEffect, {type: "dispatch"}>): void {
     const {request, attempt, address, fence, grant} = effect
     const exchange = this.open_.get(request)
-    if (!exchange) return this.backendEnded(request, undefined, "not-sent")
+    if (!exchange) return this.reportResult(request, undefined, "not-sent")
     this.observe(exchange, "sedge_load_stall_ms", effect.stallMs)
     this.observe(exchange, "sedge_wait_ms", effect.waitedMs)
     if (effect.fillPercent !== undefined) {
@@ -65,29 +68,29 @@
     this.relay_.send(
       exchange,
       {address, attempt, fence, grant, entry, idleMs: this.idleMsAt(effect.backend)},
-      this.measuresOf(exchange),
-      result => this.backendEnded(request, exchange, result)
+      this.streamHistograms(exchange),
+      result => this.reportResult(request, exchange, result)
     )
   }
 
-  /** Takes a broken stream up again. */
+  /** Resumes a broken stream. */
   resume({request, attempt, address}: Extract<EntryEffect, {type: "resume"}>): void {
     const exchange = this.open_.get(request)
-    const end = (result: BackendResult) => this.backendEnded(request, exchange, result)
+    const end = (result: BackendResult) => this.reportResult(request, exchange, result)
     if (!exchange) return end("abandoned")
     const idleMs = this.options_.streamIdleMs
     const target = {address, attempt, idleMs}
-    this.relay_.resume(exchange, target, this.measuresOf(exchange), end)
+    this.relay_.resume(exchange, target, this.streamHistograms(exchange), end)
   }
 
-  /** A silent stream is only given up where it can be resumed. */
+  /** Idle timeout of streams. 0 means none: streams that cannot be resumed are kept. */
   private idleMsAt(backend: string): number {
     const server = findRecord(this.options_.config(), "backend", backend)?.value
     const resumes = server?.kind === "model-engine" && server.resumesStreams === true
     return resumes ? this.options_.streamIdleMs : 0
   }
 
-  private measuresOf(exchange: Exchange): RelayMeasures {
+  private streamHistograms(exchange: Exchange): RelayMeasures {
     const {metrics} = this.options_
     const labels = labelsOf(exchange)
     return {
@@ -96,14 +99,14 @@
     }
   }
 
-  /** Ends an answer that has begun with an explicit error. */
+  /** Ends a begun answer: streams with an error event, others by closing the socket. */
   breakOff(id: string, code: ErrorCode): void {
     const exchange = this.open_.get(id)
     if (exchange?.mode === "stream") sendStreamError(exchange.res, code)
     else exchange?.res.destroy()
   }
 
-  private backendEnded(
+  private reportResult(
     id: string,
     exchange: Exchange | undefined,
     result: BackendResult
@@ -131,7 +134,7 @@
     })
   }
 
-  /** Destroys the connection of an attempt; its end is told as any other. */
+  /** Aborts an attempt. Its end is reported like that of any other attempt. */
   abort(id: string, timedOut: boolean): void {
     const exchange = this.open_.get(id)
     if (!exchange?.controller) return
@@ -139,7 +142,7 @@
     exchange.controller.abort(new Error("aborted"))
   }
 
-  /** Answers with an error, at once. */
+  /** Answers a request with an error. */
   answer({request, code, retryAfterMs}: Extract<EntryEffect, {type: "answer"}>): void {
     const exchange = this.open_.get(request)
     if (!exchange) return
