--- a/src/adapters/keeper-process.ts
+++ b/src/adapters/keeper-process.ts
@@ -1,4 +1,4 @@
-/** The keeper: links to entries, orders to engines and records in the key-value service. */
+/** The keeper process, with its links to entries, engines and the key-value service. */
 import {stepKeeper, createKeeper} from "../core/keeper.js"
 import type {
   KeeperEffect,
@@ -49,11 +49,15 @@
   private readonly logs_ = new Map<string, RegisterLog>()
   private server_: PeerServer | undefined
   private finish_: () => void = () => undefined
-  private ending_ = false
+  private isEnding_ = false
 
   constructor(private readonly context_: ProcessContext) {
     const {settings, incarnation, kv, log} = context_
-    if (!settings.keeper) throw new SedgeError("bad-request", "no keeper settings")
+    if (!settings.keeper)
+      throw new SedgeError(
+        "bad-request",
+        "settings.keeper is missing: no keeper settings for this box"
+      )
     this.settings_ = settings.keeper
     const {timing, registerShards, platform} = settings
     this.options_ = {
@@ -164,7 +168,7 @@
           foreign: engine.foreign,
           prefixes: engine.prefixes.size,
           models: Object.fromEntries(
-            [...engine.adapters].map(([m, pair]) => [m, pair.phase])
+            [...engine.adapters].map(([model, adapter]) => [model, adapter.phase])
           )
         }))
       }))
@@ -178,7 +182,7 @@
       case "send":
         return this.server_?.send(effect.to, effect.message)
       case "order":
-        return void this.giveOrder(effect)
+        return void this.sendOrder(effect)
       case "probe":
         return void this.probe(effect.entry)
       case "note":
@@ -200,7 +204,7 @@
     }
   }
 
-  private async giveOrder(effect: Extract<KeeperEffect, {type: "order"}>): Promise<void> {
+  private async sendOrder(effect: Extract<KeeperEffect, {type: "order"}>): Promise<void> {
     const {cell, engine, fence, order} = effect
     const sentAt = clockNow()
     const server = findRecord(this.sync_.config, "backend", engine)?.value
@@ -239,14 +243,14 @@
       const result = cause instanceof KvUnknown ? "unknown" : "conflict"
       this.loop_.post({type: "share-changed", change, result: {result}})
     }
-    // The watch may lag; what stands there is read at once.
+    // The watch may lag, so the present owners are read at once.
     await this.mirror_.list().catch(() => undefined)
   }
 
   private async openRegister(shard: string, fence: number): Promise<void> {
     const {kv, settings, log} = this.context_
-    const retention = settings.timing.keyRetentionMs
-    const register = new RegisterLog(kv, settings.kv.prefix, shard, fence, retention)
+    const retentionMs = settings.timing.keyRetentionMs
+    const register = new RegisterLog(kv, settings.kv.prefix, shard, fence, retentionMs)
     this.logs_.set(shard, register)
     while (this.logs_.get(shard) === register) {
       try {
@@ -264,7 +268,7 @@
   ): Promise<void> {
     const {shard, fence, lines} = effect
     const register = this.logs_.get(shard)
-    // The shard was lost and taken again meanwhile: these lines are of a term that is over.
+    // The shard was lost and claimed again in the meantime. The lines have the old fence.
     if (!register || register.fence !== fence) return
     try {
       await register.append(lines)
@@ -282,8 +286,8 @@
   }
 
   private async end(): Promise<void> {
-    if (this.ending_) return
-    this.ending_ = true
+    if (this.isEnding_) return
+    this.isEnding_ = true
     this.context_.log("stopped")
     this.mirror_.stop()
     this.sync_.stop()
--- a/src/adapters/register-log.ts
+++ b/src/adapters/register-log.ts
@@ -1,21 +1,21 @@
 /**
- * The durable log of a register shard: numbered buckets, one writer. A new owner seals the last
- * bucket and creates the next, so that a former owner's late write finds its bucket changed and
- * the next one taken. Only single-key compare-and-swap is needed.
+ * The durable log of a register shard, in numbered buckets with a single writer. A new
+ * owner seals the last bucket and creates the next one, so that a late write of the
+ * previous owner fails in both. This needs only compare-and-swap of single keys.
  */
 import {KvUnavailable} from "../errors.js"
 import type {KvEntry, KvStore} from "../ports/ports.js"
 import type {RegisterLine} from "../core/register.js"
 import {KEYS} from "./platform-mirror.js"
 
-/** Lines of a bucket; a write carries the whole bucket. */
+/** Limits the size of writes, as each write contains the whole bucket. */
 const BUCKET_LINES = 400
 const BUCKET_DIGITS = 10
 
 interface Bucket {
   readonly fence: number
   readonly sealedBy?: number
-  /** Grows with every write of the owner, so that a lost answer can be settled. */
+  /** Counts the owner's writes. Shows after a lost answer which write took effect. */
   readonly write: number
   readonly lines: readonly RegisterLine[]
 }
@@ -30,8 +30,8 @@
   private revision_ = 0
   private write_ = 0
   private lines_: readonly RegisterLine[] = []
-  /** First and newest bucket still kept, with the time of their newest line. */
-  private readonly kept_ = new Map<number, number>()
+  /** Time of the newest line of each stored bucket (Unix time, ms). */
+  private readonly newestLineAt_ = new Map<number, number>()
 
   constructor(
     private readonly kv_: KvStore,
@@ -41,10 +41,10 @@
     private readonly retentionMs_: number
   ) {}
 
-  /** Reads and seals what earlier owners wrote. Rejects while the service is in trouble. */
+  /** Reads and seals earlier owners' buckets. Rejects if the key-value service fails. */
   async open(): Promise<RegisterLine[]> {
     for (;;) {
-      const {entries} = await this.kv_.list(this.prefix())
+      const {entries} = await this.kv_.list(this.shardPrefix())
       const buckets = entries.map(entry => ({entry, bucket: parseBucket(entry)}))
       const last = buckets.at(-1)
       const highest = Math.max(
@@ -53,22 +53,23 @@
       )
       if (highest > this.fence) throw new RegisterSealed(this.shard_)
       if (last && !(await this.seal(last.entry, last.bucket))) continue
-      const next = last ? numberOf(last.entry) + 1 : 1
+      const next = last ? bucketNumber(last.entry) + 1 : 1
       if (!(await this.createBucket(next))) continue
-      for (const {entry, bucket} of buckets) this.keep(numberOf(entry), bucket.lines)
+      for (const {entry, bucket} of buckets)
+        this.recordNewestLine(bucketNumber(entry), bucket.lines)
       return buckets.flatMap(({bucket}) => bucket.lines)
     }
   }
 
-  /** Appends lines. Resolves only when they are durable. */
+  /** Appends lines. Resolves when they are durable. */
   async append(lines: readonly RegisterLine[]): Promise<void> {
     if (this.lines_.length + lines.length > BUCKET_LINES && this.lines_.length > 0) {
       await this.startBucket(lines)
     } else {
       await this.write([...this.lines_, ...lines])
     }
-    this.keep(this.bucket_, this.lines_)
-    await this.dropOld().catch(() => undefined)
+    this.recordNewestLine(this.bucket_, this.lines_)
+    await this.removeExpired().catch(() => undefined)
   }
 
   private async startBucket(lines: readonly RegisterLine[]): Promise<void> {
@@ -86,7 +87,7 @@
     this.lines_ = lines
   }
 
-  /** Writes as the only writer; a lost answer or conflict is settled by reading back. */
+  /** Writes a bucket as its only writer. Reads it after a lost answer or a conflict. */
   private async putOwn(
     key: string,
     bucket: Bucket,
@@ -103,16 +104,17 @@
     }
     const found = current && parseBucket(current)
     if (!current || !found) {
-      if (expectRevision === 0) throw new KvUnavailable("the write had no effect")
+      if (expectRevision === 0)
+        throw new KvUnavailable(`register bucket ${key} was not created`)
       throw new RegisterSealed(this.shard_)
     }
     if (found.fence !== this.fence || found.sealedBy !== undefined) {
       throw new RegisterSealed(this.shard_)
     }
     if (found.write === bucket.write) return current.revision
-    // An earlier write of ours, whose answer was lost, is what stands there.
+    // The stored bucket is from an earlier write of this owner, whose answer was lost.
     if (current.revision === expectRevision)
-      throw new KvUnavailable("the write had no effect")
+      throw new KvUnavailable(`register bucket ${key} was not written`)
     return this.putOwn(key, bucket, current.revision)
   }
 
@@ -135,26 +137,26 @@
     return true
   }
 
-  private keep(number: number, lines: readonly RegisterLine[]): void {
-    this.kept_.set(number, Math.max(0, ...lines.map(line => line.at)))
+  private recordNewestLine(number: number, lines: readonly RegisterLine[]): void {
+    this.newestLineAt_.set(number, Math.max(0, ...lines.map(line => line.at)))
   }
 
-  /** Removes a bucket whose newest line is past its time. */
-  private async dropOld(): Promise<void> {
+  /** Removes buckets whose newest line is older than the retention period. */
+  private async removeExpired(): Promise<void> {
     const limit = Date.now() - this.retentionMs_
-    for (const [number, newest] of [...this.kept_]) {
+    for (const [number, newest] of [...this.newestLineAt_]) {
       if (number === this.bucket_ || newest > limit) continue
       await this.kv_.remove(this.keyOf(number))
-      this.kept_.delete(number)
+      this.newestLineAt_.delete(number)
     }
   }
 
-  private prefix(): string {
+  private shardPrefix(): string {
     return `${this.prefix_}${KEYS.register}${this.shard_}/`
   }
 
   private keyOf(number: number): string {
-    return this.prefix() + String(number).padStart(BUCKET_DIGITS, "0")
+    return this.shardPrefix() + String(number).padStart(BUCKET_DIGITS, "0")
   }
 }
 
@@ -162,6 +164,6 @@
   return JSON.parse(entry.value) as Bucket
 }
 
-function numberOf(entry: KvEntry): number {
+function bucketNumber(entry: KvEntry): number {
   return Number(entry.key.slice(-BUCKET_DIGITS))
 }
--- a/src/adapters/registration.ts
+++ b/src/adapters/registration.ts
@@ -1,4 +1,4 @@
-/** How a process makes itself known in the key-value service. */
+/** Registers processes in the key-value service. */
 import type {KvStore} from "../ports/ports.js"
 import {backoffMs} from "../utils/backoff.js"
 import type {Timing} from "../core/timing.js"
@@ -8,15 +8,15 @@
 const LONGEST_RETRY_MS = 4_000
 
 export interface LeaseEvents {
-  /** The lease was valid when the call was sent. */
+  /** The lease was valid when the renewal was sent (monotonic clock). */
   readonly renewed: (sentAt: number) => void
   readonly lost: () => void
 }
 
-/** Keeps a lease with one key, and gets a new lease when the service knows it no more. */
+/** Keeps a key alive with a lease, and obtains a new lease when the old one expires. */
 export class LeasedKey {
   private lease_ = ""
-  private stopped_ = false
+  private isStopped_ = false
 
   constructor(
     private readonly kv_: KvStore,
@@ -28,26 +28,26 @@
 
   async run(): Promise<void> {
     let failures = 0
-    while (!this.stopped_) {
-      let pause = this.timing_.renewMs
+    while (!this.isStopped_) {
+      let pauseMs = this.timing_.renewMs
       try {
-        await this.beat()
+        await this.renew()
         failures = 0
       } catch {
-        pause = backoffMs(++failures, FIRST_RETRY_MS, this.timing_.renewMs)
-        // The lease is kept as it is; the monotonic clock says how long it counts.
+        pauseMs = backoffMs(++failures, FIRST_RETRY_MS, this.timing_.renewMs)
+        // The lease is kept. The holder's monotonic clock decides how long it is valid.
       }
-      await new Promise(done => setTimeout(done, pause))
+      await new Promise(done => setTimeout(done, pauseMs))
     }
   }
 
-  /** Gives the lease back, so that nobody waits for it to lapse. */
+  /** Revokes the lease, so that other processes need not wait for its expiry. */
   async stop(): Promise<void> {
-    this.stopped_ = true
+    this.isStopped_ = true
     if (this.lease_ !== "") await this.kv_.revokeLease(this.lease_)
   }
 
-  private async beat(): Promise<void> {
+  private async renew(): Promise<void> {
     const sentAt = clockNow()
     if (this.lease_ !== "") {
       if (await this.kv_.keepAlive(this.lease_)) return this.events_.renewed(sentAt)
@@ -61,7 +61,7 @@
   }
 }
 
-/** Writes a key that stays until it is removed; tries until the service takes it. */
+/** Writes a key without a lease, with retries until the key-value service accepts it. */
 export async function registerKey(
   kv: KvStore,
   key: string,
