--- a/src/adapters/kv-etcd.ts
+++ b/src/adapters/kv-etcd.ts
@@ -1,4 +1,4 @@
-/** The key-value service by the JSON gateway of the etcd v3 API, as published. */
+/** A client of the key-value service through the JSON gateway of the etcd v3 API. */
 import {request, type Dispatcher, Agent} from "undici"
 import {KvRefused, KvUnavailable, KvUnknown} from "../errors.js"
 import type {
@@ -15,7 +15,7 @@
   /** Base URL, `http://host:port`. */
   readonly endpoint: string
   readonly timeoutMs: number
-  /** A watch is asked for anew after this time, so that a half-open one is noticed. */
+  /** A watch is renewed after this time, so that a half-open connection is noticed. */
   readonly watchMs: number
 }
 
@@ -43,7 +43,6 @@
   }
 }
 
-/** A client of the service. */
 export function connectEtcd(options: EtcdOptions): KvStore {
   return new EtcdStore(options)
 }
@@ -118,29 +117,29 @@
   async watch(
     prefix: string,
     after: StorePosition,
-    take: (change: KvChange) => void,
+    onChange: (change: KvChange) => void,
     signal: AbortSignal
   ): Promise<StorePosition> {
     const limit = limitTime(this.options.watchMs, signal)
-    let seen = after.revision
-    const note = (change: KvChange): void => {
-      seen = Math.max(seen, change.revision)
-      take(change)
+    let lastRevision = after.revision
+    const record = (change: KvChange): void => {
+      lastRevision = Math.max(lastRevision, change.revision)
+      onChange(change)
     }
     try {
-      await this.readWatch(prefix, after.revision, note, limit.signal)
+      await this.readWatch(prefix, after.revision, record, limit.signal)
     } catch (cause) {
       if (!limit.isOver() && !signal.aborted) throw cause
     } finally {
       limit.clear()
     }
-    return {revision: seen}
+    return {revision: lastRevision}
   }
 
   private async readWatch(
     prefix: string,
     afterRevision: number,
-    take: (change: KvChange) => void,
+    onChange: (change: KvChange) => void,
     signal: AbortSignal
   ): Promise<void> {
     const body = {
@@ -153,13 +152,15 @@
     const answer = await this.post("/v3/watch", body, signal)
     if (answer.statusCode !== 200) {
       await answer.body.dump()
-      throw new KvRefused(`watch refused with ${answer.statusCode}`)
+      throw new KvRefused(
+        `key-value service rejected the watch with status ${answer.statusCode}`
+      )
     }
-    let rest = ""
+    let partialLine = ""
     for await (const chunk of answer.body.setEncoding("utf8")) {
-      const lines = (rest + String(chunk)).split("\n")
-      rest = lines.pop() ?? ""
-      for (const line of lines) if (line !== "") takeLine(line, take)
+      const lines = (partialLine + String(chunk)).split("\n")
+      partialLine = lines.pop() ?? ""
+      for (const line of lines) if (line !== "") handleWatchLine(line, onChange)
     }
   }
 
@@ -172,7 +173,7 @@
     }
     try {
       const text = await answer.body.text()
-      // 429 and 503 are answered before the service acts.
+      // With status 429 or 503 the service has not executed the call.
       if (answer.statusCode === 429 || answer.statusCode === 503) {
         throw new KvRefused(`refused with ${answer.statusCode}`)
       }
@@ -197,7 +198,7 @@
   }
 }
 
-/** Only a refused connection is certain not to have carried the call. */
+/** A call was certainly not executed only if no connection was established. */
 function classify(cause: NodeJS.ErrnoException): Error {
   if (cause.code === "ECONNREFUSED" || cause.code === "UND_ERR_CONNECT_TIMEOUT") {
     return new KvUnavailable(cause.message)
@@ -205,12 +206,12 @@
   return new KvUnknown(cause.message)
 }
 
-function takeLine(line: string, take: (change: KvChange) => void): void {
+function handleWatchLine(line: string, onChange: (change: KvChange) => void): void {
   const {result} = JSON.parse(line) as EtcdWatchLine
-  if (result?.canceled) throw new KvUnavailable("the watch was cancelled")
+  if (result?.canceled) throw new KvUnavailable("key-value service cancelled the watch")
   for (const {type, kv} of result?.events ?? []) {
     const {key, value, revision} = toEntry(kv)
-    take(type === "DELETE" ? {key, revision} : {key, value, revision})
+    onChange(type === "DELETE" ? {key, revision} : {key, value, revision})
   }
 }
 
@@ -226,7 +227,7 @@
   return Buffer.from(text, "base64").toString()
 }
 
-/** The first key after all keys with the prefix. */
+/** Returns the first key after all keys with the prefix. */
 function endOfPrefix(prefix: string): string {
   const last = prefix.charCodeAt(prefix.length - 1)
   return prefix.slice(0, -1) + String.fromCharCode(last + 1)
--- a/src/adapters/platform-mirror.ts
+++ b/src/adapters/platform-mirror.ts
@@ -1,10 +1,10 @@
-/** A mirror of the watched part of the key-value service: one watch a process, on one prefix. */
+/** Mirrors the watched part of the key-value service, with one watch per process. */
 import type {KvChange, KvEntry, KvStore} from "../ports/ports.js"
 import type {ProcessRecord, ShareRecord} from "../core/ownership.js"
 import {backoffMs} from "../utils/backoff.js"
 import type {Log} from "./log.js"
 
-/** The keys, below the deployment's prefix. What is watched has one prefix of its own. */
+/** Keys, relative to the deployment's prefix. All watched keys start with `watched`. */
 export const KEYS = {
   watched: "w/",
   head: "w/head",
@@ -20,7 +20,7 @@
 const FIRST_RETRY_MS = 250
 const LONGEST_RETRY_MS = 4_000
 
-/** What the mirror shows. */
+/** The mirrored records. */
 export interface PlatformView {
   readonly generation: number
   readonly shares: ReadonlyMap<string, ShareRecord>
@@ -31,18 +31,18 @@
 export class PlatformMirror {
   private readonly rows_ = new Map<string, KvEntry>()
   private revision_ = 0
-  private scheduled_ = false
+  private isScheduled_ = false
   private readonly abort_ = new AbortController()
-  private troubled_ = false
+  private isFailing_ = false
 
   constructor(
     private readonly kv_: KvStore,
     private readonly prefix_: string,
     private readonly log_: Log,
-    private readonly show_: (view: PlatformView) => void
+    private readonly onView_: (view: PlatformView) => void
   ) {}
 
-  /** Follows the service until `stop`. */
+  /** Watches the key-value service until `stop`. */
   async run(): Promise<void> {
     let listed = false
     let failures = 0
@@ -50,13 +50,13 @@
       try {
         if (!listed) await this.list()
         listed = true
-        await this.follow()
+        await this.watch()
         failures = 0
-        this.settle()
+        this.recordRecovery()
       } catch (cause) {
         failures++
-        this.trouble(cause as Error)
-        // A broken watch may have missed what was compacted since.
+        this.recordFailure(cause as Error)
+        // Changes missed by a broken watch may be compacted, which requires a full list.
         listed = false
         const pauseMs = backoffMs(failures, FIRST_RETRY_MS, LONGEST_RETRY_MS)
         await new Promise(done => setTimeout(done, pauseMs))
@@ -68,7 +68,7 @@
     this.abort_.abort()
   }
 
-  /** A fresh read, besides the watch. */
+  /** Reads all watched keys at once, independent of the watch. */
   async list(): Promise<void> {
     const watched = this.prefix_ + KEYS.watched
     const {entries, revision} = await this.kv_.list(watched)
@@ -76,49 +76,49 @@
     for (const [key, row] of this.rows_) {
       if (!present.has(key) && row.revision <= revision) this.rows_.delete(key)
     }
-    for (const entry of entries) this.keep(entry)
+    for (const entry of entries) this.storeRow(entry)
     this.revision_ = Math.max(this.revision_, revision)
-    this.showNow()
-    this.settle()
+    this.publishView()
+    this.recordRecovery()
   }
 
-  private async follow(): Promise<void> {
+  private async watch(): Promise<void> {
     await this.kv_.watch(
       this.prefix_ + KEYS.watched,
       {revision: this.revision_},
-      change => this.take(change),
+      change => this.applyChange(change),
       this.abort_.signal
     )
   }
 
-  private take(change: KvChange): void {
+  private applyChange(change: KvChange): void {
     if (change.value === undefined) {
-      const known = this.rows_.get(change.key)
-      if (known && known.revision <= change.revision) this.rows_.delete(change.key)
+      const previous = this.rows_.get(change.key)
+      if (previous && previous.revision <= change.revision) this.rows_.delete(change.key)
     } else {
-      this.keep({key: change.key, value: change.value, revision: change.revision})
+      this.storeRow({key: change.key, value: change.value, revision: change.revision})
     }
     this.revision_ = Math.max(this.revision_, change.revision)
-    this.showSoon()
+    this.schedulePublish()
   }
 
-  private keep(entry: KvEntry): void {
-    const known = this.rows_.get(entry.key)
-    if (!known || entry.revision >= known.revision) this.rows_.set(entry.key, entry)
+  private storeRow(entry: KvEntry): void {
+    const previous = this.rows_.get(entry.key)
+    if (!previous || entry.revision >= previous.revision) this.rows_.set(entry.key, entry)
   }
 
-  /** Shows once for the changes that came together. */
-  private showSoon(): void {
-    if (this.scheduled_) return
-    this.scheduled_ = true
+  /** Publishes one view for all changes of the same turn. */
+  private schedulePublish(): void {
+    if (this.isScheduled_) return
+    this.isScheduled_ = true
     setImmediate(() => {
-      this.scheduled_ = false
-      this.showNow()
+      this.isScheduled_ = false
+      this.publishView()
     })
   }
 
-  private showNow(): void {
-    this.show_({
+  private publishView(): void {
+    this.onView_({
       generation: Number(this.rows_.get(this.prefix_ + KEYS.head)?.value ?? 0),
       shares: this.parse(KEYS.shares, (value, revision) => ({
         ...(JSON.parse(value) as {owner: string; fence: number}),
@@ -134,21 +134,21 @@
     read: (value: string, revision: number) => T
   ): ReadonlyMap<string, T> {
     const prefix = this.prefix_ + group
-    const found = new Map<string, T>()
+    const records = new Map<string, T>()
     for (const {key, value, revision} of this.rows_.values()) {
       if (key.startsWith(prefix))
-        found.set(key.slice(prefix.length), read(value, revision))
+        records.set(key.slice(prefix.length), read(value, revision))
     }
-    return found
+    return records
   }
 
-  private trouble(cause: Error): void {
-    if (!this.troubled_) this.log_("kv-trouble", {reason: cause.message})
-    this.troubled_ = true
+  private recordFailure(cause: Error): void {
+    if (!this.isFailing_) this.log_("kv-trouble", {reason: cause.message})
+    this.isFailing_ = true
   }
 
-  private settle(): void {
-    if (this.troubled_) this.log_("kv-back")
-    this.troubled_ = false
+  private recordRecovery(): void {
+    if (this.isFailing_) this.log_("kv-back")
+    this.isFailing_ = false
   }
 }
