--- a/src/adapters/metrics.ts
+++ b/src/adapters/metrics.ts
@@ -1,12 +1,12 @@
-/** Measures: a histogram for each organisation and class, and counters, as Prometheus text. */
+/** Histograms, counters and gauges with labels, in the Prometheus text format. */
 import {build, type Histogram} from "hdr-histogram-js"
 
 type Labels = Readonly<Record<string, string>>
 
 const QUANTILES = [0.5, 0.95, 0.99]
-/** The largest value told apart, milliseconds: an hour. */
+/** The largest value that histograms distinguish (one hour). */
 const HIGHEST_MS = 3_600_000
-const DIGITS = 2
+const SIGNIFICANT_DIGITS = 2
 
 interface Series<T> {
   readonly name: string
@@ -19,20 +19,20 @@
   private readonly counters_ = new Map<string, Series<{count: number}>>()
   private readonly gauges_: Series<() => number>[] = []
 
-  /** Records a value; values are whole numbers, so milliseconds and tokens are as they come. */
+  /** Records a value (milliseconds, tokens or percent), rounded to a whole number. */
   observe(name: string, labels: Labels, value: number): void {
     this.histogram(name, labels).recordValue(Math.max(0, Math.round(value)))
   }
 
-  /** The histogram itself, for paths that record often. */
+  /** Returns a histogram, for code that records often. */
   histogram(name: string, labels: Labels): Histogram {
-    const id = identify(name, labels)
-    const known = this.histograms_.get(id)
-    if (known) return known.value
+    const id = seriesId(name, labels)
+    const existing = this.histograms_.get(id)
+    if (existing) return existing.value
     const value = build({
       lowestDiscernibleValue: 1,
       highestTrackableValue: HIGHEST_MS,
-      numberOfSignificantValueDigits: DIGITS,
+      numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
       bitBucketSize: 32,
       autoResize: true
     })
@@ -41,7 +41,7 @@
   }
 
   count(name: string, labels: Labels = {}, by = 1): void {
-    const id = identify(name, labels)
+    const id = seriesId(name, labels)
     const series = this.counters_.get(id)
     if (series) series.value.count += by
     else this.counters_.set(id, {name, labels, value: {count: by}})
@@ -51,30 +51,32 @@
     this.gauges_.push({name, labels, value: read})
   }
 
-  /** All series in the Prometheus text format. */
+  /** Renders all series in the Prometheus text format. */
   render(): string {
     const lines: string[] = []
     for (const {name, labels, value} of this.histograms_.values()) {
       for (const quantile of QUANTILES) {
-        const at = {...labels, quantile: String(quantile)}
-        lines.push(`${identify(name, at)} ${value.getValueAtPercentile(quantile * 100)}`)
+        const quantileLabels = {...labels, quantile: String(quantile)}
+        lines.push(
+          `${seriesId(name, quantileLabels)} ${value.getValueAtPercentile(quantile * 100)}`
+        )
       }
       lines.push(
-        `${identify(`${name}_sum`, labels)} ${value.mean * value.totalCount || 0}`
+        `${seriesId(`${name}_sum`, labels)} ${value.mean * value.totalCount || 0}`
       )
-      lines.push(`${identify(`${name}_count`, labels)} ${value.totalCount}`)
+      lines.push(`${seriesId(`${name}_count`, labels)} ${value.totalCount}`)
     }
     for (const {name, labels, value} of this.counters_.values()) {
-      lines.push(`${identify(name, labels)} ${value.count}`)
+      lines.push(`${seriesId(name, labels)} ${value.count}`)
     }
     for (const {name, labels, value} of this.gauges_) {
-      lines.push(`${identify(name, labels)} ${value()}`)
+      lines.push(`${seriesId(name, labels)} ${value()}`)
     }
     return `${lines.sort().join("\n")}\n`
   }
 }
 
-function identify(name: string, labels: Labels): string {
+function seriesId(name: string, labels: Labels): string {
   const parts = Object.entries(labels).map(([key, value]) => `${key}="${escape(value)}"`)
   return parts.length === 0 ? name : `${name}{${parts.join(",")}}`
 }
--- a/src/adapters/ops-server.ts
+++ b/src/adapters/ops-server.ts
@@ -1,4 +1,4 @@
-/** Metrics, health and identity of a process, apart from the callers' port. */
+/** Serves metrics, health and identity of a process on a port of its own. */
 import {createServer, type Server} from "node:http"
 import type {Metrics} from "./metrics.js"
 
@@ -7,13 +7,13 @@
   readonly port: number
   readonly incarnation: string
   readonly metrics: Metrics
-  /** Whether the balancer should send work here. */
+  /** Whether the balancer should send requests to this process. */
   readonly isReady: () => boolean
-  /** What the process holds now, for operators and tests. */
+  /** Returns the state of the process, for operators and tests. */
   readonly describe: () => object
 }
 
-/** Serves until the process ends. */
+/** Starts the server, which runs until the process ends. */
 export function startOpsServer(options: OpsOptions): Promise<Server> {
   const server = createServer((req, res) => {
     switch (req.url) {
--- a/src/adapters/peer-links.ts
+++ b/src/adapters/peer-links.ts
@@ -1,11 +1,11 @@
-/** Links between own processes: `ws` carrying `msgpackr`, with heartbeats and bounded queues. */
+/** WebSocket links between processes, with heartbeats and bounded send buffers. */
 import {Packr} from "msgpackr"
 import {WebSocket, WebSocketServer} from "ws"
 import type {Hello, PeerMessage} from "../types/messages.js"
 import {PROTOCOL_VERSION} from "../types/messages.js"
 import {clockNow} from "./clock.js"
 
-/** Bytes that may wait for a slow peer; past that it is cut off and has to start anew. */
+/** Limits the bytes buffered for a slow peer. Above it, the link is closed. */
 const MAX_BUFFERED_BYTES = 4 << 20
 const MAX_MESSAGE_BYTES = 16 << 20
 const RECONNECT_MS = 200
@@ -18,33 +18,33 @@
 }
 
 export interface LinkOptions {
-  /** What this process says of itself; asked anew for each link. */
+  /** Returns this process's current hello, for new links and heartbeats. */
   readonly hello: () => Hello
   readonly heartbeatMs: number
-  /** A link from which nothing came for so long is dead. */
+  /** A link is closed after this time without a message. */
   readonly silenceMs: number
   readonly events: LinkEvents
 }
 
 const packr = new Packr({structuredClone: false})
 
-/** One end of a link. `up` is told after the other end has introduced itself. */
+/** One end of a link. `up` is called when the hello of the other end has arrived. */
 export class PeerLink {
   private peer_: Hello | undefined
-  private lastHeard_ = clockNow()
-  private ended_ = false
+  private lastReceivedAt_ = clockNow()
+  private isEnded_ = false
   private readonly timer_: NodeJS.Timeout
 
   constructor(
     private readonly socket_: WebSocket,
     private readonly options_: LinkOptions,
-    private readonly adopt_: (peer: Hello, link: PeerLink) => void
+    private readonly onHello_: (peer: Hello, link: PeerLink) => void
   ) {
     socket_.binaryType = "nodebuffer"
     socket_.on("message", data => this.receive(data as Buffer))
     socket_.on("close", () => this.end())
     socket_.on("error", () => this.close())
-    this.timer_ = setInterval(() => this.beat(), options_.heartbeatMs)
+    this.timer_ = setInterval(() => this.sendHeartbeat(), options_.heartbeatMs)
     if (socket_.readyState === WebSocket.OPEN) this.send(options_.hello())
     else socket_.once("open", () => this.send(options_.hello()))
   }
@@ -59,21 +59,21 @@
     this.socket_.send(packr.pack(message))
   }
 
-  /** Cuts the link at once; what was not sent is lost. */
+  /** Closes the link at once. Unsent messages are lost. */
   close(): void {
     this.socket_.terminate()
     this.end()
   }
 
-  private beat(): void {
-    if (clockNow() - this.lastHeard_ > this.options_.silenceMs) return this.close()
+  private sendHeartbeat(): void {
+    if (clockNow() - this.lastReceivedAt_ > this.options_.silenceMs) return this.close()
     this.send({t: "ping", generation: this.options_.hello().generation})
   }
 
   private receive(data: Buffer): void {
-    // What was still in a buffer of a link given up must not mix with its successor's.
-    if (this.ended_) return
-    this.lastHeard_ = clockNow()
+    // Buffered messages of a closed link must not mix with those of its successor.
+    if (this.isEnded_) return
+    this.lastReceivedAt_ = clockNow()
     let message: PeerMessage
     try {
       message = packr.unpack(data) as PeerMessage
@@ -85,59 +85,60 @@
       return
     }
     if (message.t !== "hello" || message.protocol !== PROTOCOL_VERSION) {
-      this.options_.events.refused(`protocol of the peer is not ${PROTOCOL_VERSION}`)
+      this.options_.events.refused(
+        `peer does not use protocol version ${PROTOCOL_VERSION}`
+      )
       return this.close()
     }
     this.peer_ = message
-    this.adopt_(message, this)
+    this.onHello_(message, this)
     this.options_.events.up(message, this)
   }
 
   private end(): void {
-    if (this.ended_) return
-    this.ended_ = true
+    if (this.isEnded_) return
+    this.isEnded_ = true
     clearInterval(this.timer_)
     if (this.peer_) this.options_.events.down(this.peer_.incarnation)
   }
 }
 
-/** Links by the other end's incarnation; a second link of one peer ends the first. */
+/** Links by the incarnation of the peer. A new link closes the peer's previous one. */
 class LinkTable {
   private readonly links_ = new Map<string, PeerLink>()
 
-  readonly adopt = (peer: Hello, link: PeerLink): void => {
+  readonly register = (peer: Hello, link: PeerLink): void => {
     this.links_.get(peer.incarnation)?.close()
     this.links_.set(peer.incarnation, link)
   }
 
-  /** Whether the link is the peer's present one. */
   send(to: string, message: PeerMessage): void {
     this.links_.get(to)?.send(message)
   }
 
-  forget(incarnation: string): void {
+  remove(incarnation: string): void {
     this.links_.delete(incarnation)
   }
 
-  each(visit: (link: PeerLink) => void): void {
+  forEach(visit: (link: PeerLink) => void): void {
     for (const link of [...this.links_.values()]) visit(link)
   }
 }
 
-/** The listening side. */
+/** The listening end of links. */
 export class PeerServer {
   private readonly table_ = new LinkTable()
   private readonly server_: WebSocketServer
 
   constructor(host: string, port: number, options: LinkOptions, onListening: () => void) {
-    const wrapped = forgetOnDown(options, this.table_)
+    const wrapped = removeOnDown(options, this.table_)
     this.server_ = new WebSocketServer(
       {host, port, maxPayload: MAX_MESSAGE_BYTES},
       onListening
     )
     this.server_.on(
       "connection",
-      socket => new PeerLink(socket, wrapped, this.table_.adopt)
+      socket => new PeerLink(socket, wrapped, this.table_.register)
     )
   }
 
@@ -146,34 +147,35 @@
   }
 
   broadcast(message: PeerMessage): void {
-    this.table_.each(link => link.send(message))
+    this.table_.forEach(link => link.send(message))
   }
 
   close(): void {
-    this.table_.each(link => link.close())
+    this.table_.forEach(link => link.close())
     this.server_.close()
   }
 }
 
-/** The dialling side: keeps one link to each wanted address. */
+/** The connecting end, which keeps one link to each of its addresses. */
 export class PeerClient {
   private readonly table_ = new LinkTable()
-  private readonly dialled_ = new Map<string, PeerLink | undefined>()
+  private readonly linksByAddress_ = new Map<string, PeerLink | undefined>()
   private readonly options_: LinkOptions
-  private closed_ = false
+  private isClosed_ = false
 
   constructor(options: LinkOptions) {
-    this.options_ = forgetOnDown(options, this.table_)
+    this.options_ = removeOnDown(options, this.table_)
   }
 
-  /** Links to just these addresses from now on. */
+  /** Replaces the addresses to keep links to. */
   want(addresses: ReadonlySet<string>): void {
-    for (const [address, link] of [...this.dialled_]) {
+    for (const [address, link] of [...this.linksByAddress_]) {
       if (addresses.has(address)) continue
-      this.dialled_.delete(address)
+      this.linksByAddress_.delete(address)
       link?.close()
     }
-    for (const address of addresses) if (!this.dialled_.has(address)) this.dial(address)
+    for (const address of addresses)
+      if (!this.linksByAddress_.has(address)) this.connect(address)
   }
 
   send(to: string, message: PeerMessage): void {
@@ -181,38 +183,39 @@
   }
 
   broadcast(message: PeerMessage): void {
-    this.table_.each(link => link.send(message))
+    this.table_.forEach(link => link.send(message))
   }
 
-  /** Drops all links; they are dialled again. */
+  /** Closes all links; they reconnect. */
   reset(): void {
-    this.table_.each(link => link.close())
+    this.table_.forEach(link => link.close())
   }
 
   close(): void {
-    this.closed_ = true
-    for (const link of this.dialled_.values()) link?.close()
+    this.isClosed_ = true
+    for (const link of this.linksByAddress_.values()) link?.close()
   }
 
-  private dial(address: string): void {
+  private connect(address: string): void {
     const socket = new WebSocket(`ws://${address}`, {
       handshakeTimeout: this.options_.silenceMs,
       maxPayload: MAX_MESSAGE_BYTES
     })
-    const link = new PeerLink(socket, this.options_, this.table_.adopt)
-    this.dialled_.set(address, link)
+    const link = new PeerLink(socket, this.options_, this.table_.register)
+    this.linksByAddress_.set(address, link)
     socket.on("close", () => {
-      if (this.closed_ || this.dialled_.get(address) !== link) return
+      if (this.isClosed_ || this.linksByAddress_.get(address) !== link) return
       setTimeout(() => {
-        if (!this.closed_ && this.dialled_.get(address) === link) this.dial(address)
+        if (!this.isClosed_ && this.linksByAddress_.get(address) === link)
+          this.connect(address)
       }, RECONNECT_MS)
     })
   }
 }
 
-function forgetOnDown(options: LinkOptions, table: LinkTable): LinkOptions {
+function removeOnDown(options: LinkOptions, table: LinkTable): LinkOptions {
   const down = (incarnation: string): void => {
-    table.forget(incarnation)
+    table.remove(incarnation)
     options.events.down(incarnation)
   }
   return {...options, events: {...options.events, down}}
--- a/src/adapters/peer-setup.ts
+++ b/src/adapters/peer-setup.ts
@@ -1,4 +1,4 @@
-/** What all processes' links have in common: who they are, times, logs, and configuration. */
+/** Link options common to all processes: hello, timeouts, logs and configuration. */
 import type {Hello, PeerMessage} from "../types/messages.js"
 import {PROTOCOL_VERSION} from "../types/messages.js"
 import type {ConfigSync} from "./config-sync.js"
@@ -8,12 +8,12 @@
 export interface PeerHandlers {
   readonly up: (hello: Hello) => void
   readonly down: (incarnation: string) => void
-  /** A message that is not about configuration; pings too, as a sign of life. */
+  /** Handles pings and all messages that do not concern the configuration. */
   readonly message: (from: string, message: PeerMessage) => void
   readonly send: (to: string, message: PeerMessage) => void
 }
 
-/** The options of a process's links. */
+/** Returns the options of a process's links. */
 export function describeLinks(
   {settings, log, role, incarnation}: ProcessContext,
   sync: ConfigSync,
@@ -40,10 +40,10 @@
         handlers.down(incarnation)
       },
       message: (from, message) => {
-        const taken = takeConfigMessage(sync, message, answer =>
+        const isHandled = takeConfigMessage(sync, message, answer =>
           handlers.send(from, answer)
         )
-        if (!taken || message.t === "ping") handlers.message(from, message)
+        if (!isHandled || message.t === "ping") handlers.message(from, message)
       },
       refused: reason => log("link-refused", {reason})
     }
--- a/src/adapters/process.ts
+++ b/src/adapters/process.ts
@@ -1,4 +1,4 @@
-/** What all processes of a box have in common: identity, connections, logs, an orderly end. */
+/** Common parts of all processes of a box: identity, connections, logs and shutdown. */
 import {randomUUID} from "node:crypto"
 import {connectEtcd} from "./kv-etcd.js"
 import {createLog, type Log} from "./log.js"
@@ -11,22 +11,21 @@
 export interface ProcessContext {
   readonly settings: Settings
   readonly role: Role
-  /** New at every start. */
+  /** Unique to each start of the process. */
   readonly incarnation: string
   readonly kv: KvStore
   readonly log: Log
   readonly metrics: Metrics
 }
 
-/** A process that was started. */
 export interface RunningProcess {
-  /** Ends in an orderly way: what is in progress is finished first. */
+  /** Shuts down gracefully: work in progress is finished first. */
   readonly stop: () => void
-  /** Resolves after an orderly end; rejects after a crash. */
+  /** Resolves after a graceful shutdown and rejects after a crash. */
   readonly ended: Promise<void>
 }
 
-/** The things every process needs, from its settings. */
+/** Creates the context of a process from its settings. */
 export function createContext(settings: Settings, role: Role): ProcessContext {
   const incarnation = `${settings.box}-${role}-${randomUUID().slice(0, 8)}`
   const {endpoint, timeoutMs, watchMs} = settings.kv
@@ -40,7 +39,10 @@
   }
 }
 
-/** Keeps configuration spreading between linked peers; true when the message was such. */
+/**
+ * Handles messages that synchronise the configuration between peers. Returns false for
+ * any other message.
+ */
 export function takeConfigMessage(
   sync: ConfigSync,
   message: PeerMessage,
--- a/src/adapters/settings-file.ts
+++ b/src/adapters/settings-file.ts
@@ -1,20 +1,20 @@
-/** Reads and checks a settings file; all findings are reported together. */
+/** Reads and validates settings files. All findings are reported together. */
 import {readFileSync} from "node:fs"
 import type {z} from "zod"
 import {type Finding, SettingsError} from "../errors.js"
 import {type RoutedSettings, routedSettingsSchema} from "../types/routed-settings.js"
 import {type Role, type Settings, settingsSchema} from "../types/settings.js"
 
-/** The settings of a file, or a `SettingsError` with every finding. */
+/** Returns the settings in a file, or throws a `SettingsError` with all findings. */
 export function readSettings(file: string, role?: Role): Settings {
   return checkSettings(parseFile(file), role)
 }
 
-/** Checks settings that were parsed already. */
+/** Validates parsed settings. */
 export function checkSettings(value: unknown, role?: Role): Settings {
   const result = settingsSchema.safeParse(value)
   if (!result.success) throw new SettingsError(toFindings(result.error.issues))
-  const findings = checkTimes(result.data)
+  const findings = checkTiming(result.data)
   if (role && !result.data[role]) {
     findings.push({place: `/${role}`, message: `is needed by sedge-${role}`})
   }
@@ -22,7 +22,7 @@
   return result.data
 }
 
-/** Findings of a validation, each with its JSON pointer. */
+/** Converts validation issues to findings with JSON pointers. */
 export function toFindings(issues: readonly z.core.$ZodIssue[]): Finding[] {
   return issues.flatMap(issue => {
     if (issue.code !== "unrecognized_keys") {
@@ -35,7 +35,7 @@
   })
 }
 
-/** The settings of a routed box, or a `SettingsError` with every finding. */
+/** Returns a routed box's settings, or throws a `SettingsError` with all findings. */
 export function readRoutedSettings(file: string): RoutedSettings {
   const result = routedSettingsSchema.safeParse(parseFile(file))
   if (!result.success) throw new SettingsError(toFindings(result.error.issues))
@@ -48,8 +48,8 @@
     .join("")
 }
 
-/** The relations between times that safety rests on. */
-function checkTimes({timing}: Settings): Finding[] {
+/** Checks relations between the timing settings that the safety guarantees depend on. */
+function checkTiming({timing}: Settings): Finding[] {
   const findings: Finding[] = []
   const must = (holds: boolean, name: string, message: string): void => {
     if (!holds) findings.push({place: `/timing/${name}`, message})
--- a/src/adapters/weight-store.ts
+++ b/src/adapters/weight-store.ts
@@ -1,4 +1,4 @@
-/** The platform's weight store, as far as sedgeglade itself asks it. Engines load from it. */
+/** A client of the platform's weight store, used only to check that weights exist. */
 import {request} from "undici"
 import type {WeightStore} from "../ports/ports.js"
 
@@ -6,7 +6,7 @@
 
 export function connectWeightStore(baseUrl: string): WeightStore {
   return {
-    /** Unsure counts as there: a load says for certain. */
+    /** Returns true if the answer is unclear. The load then detects missing weights. */
     async exists(weights) {
       try {
         const answer = await request(
