--- a/test/entry-reader.test.ts
+++ b/test/entry-reader.test.ts
@@ -1,4 +1,4 @@
-/** Entries of the key-value service as other writers may leave them. */
+/** Parsing of key-value entries written by other programs, including malformed ones. */
 import t from "tap"
 import {readReport} from "../platform/backends.js"
 import {platformRecords} from "../platform/records.js"
@@ -9,7 +9,7 @@
 
 const ROUNDS = 400
 
-const GOOD = {
+const VALID = {
   service: "s",
   address: "10.0.0.1:80",
   zone: "a",
@@ -25,7 +25,7 @@
 const REPORT = {
   sequence: 3,
   busy: false,
-  models: GOOD.models,
+  models: VALID.models,
   pending: ["base/a2@1"],
   born: 7
 }
@@ -35,35 +35,35 @@
   return {key: `servers/${id}`, value: text, revision}
 }
 
-function createReader(): {reader: EntryReader; told: string[]} {
-  const told: string[] = []
+function createReader(): {reader: EntryReader; logged: string[]} {
+  const logged: string[] = []
   const log = (event: string, fields = {}): void => {
-    told.push(`${event} ${(fields as {key: string}).key}`)
+    logged.push(`${event} ${(fields as {key: string}).key}`)
   }
-  return {reader: new EntryReader(platformRecords, log), told}
+  return {reader: new EntryReader(platformRecords, log), logged}
 }
 
-t.test("a good entry is read, and a life is told by its start", async t => {
+t.test("a valid entry is parsed; its start time marks the incarnation", async t => {
   const {reader} = createReader()
-  const record = reader.readBackend(entryOf(GOOD, 5))
+  const record = reader.readBackend(entryOf(VALID, 5))
   t.match(record, {server: "w", revision: 5, service: "s", leaving: false})
   t.not(record?.id, "w")
-  t.not(reader.readBackend(entryOf({...GOOD, born: GOOD.born + 1}, 6))?.id, record?.id)
-  t.equal(reader.readBackend(entryOf({...GOOD, born: undefined}, 1, "v"))?.id, "v")
+  t.not(reader.readBackend(entryOf({...VALID, born: VALID.born + 1}, 6))?.id, record?.id)
+  t.equal(reader.readBackend(entryOf({...VALID, born: undefined}, 1, "v"))?.id, "v")
 })
 
-t.test("an entry that tells no start is not of a server that told one", async t => {
-  const {reader, told} = createReader()
-  t.ok(reader.readBackend(entryOf(GOOD, 5)))
-  t.notOk(reader.readBackend(entryOf({...GOOD, born: undefined}, 6)))
-  t.same(told, ["entry-unreadable servers/w"])
-  t.ok(reader.readBackend(entryOf(GOOD, 7)), "a good one that follows counts")
+t.test("an entry without a start time is rejected if its server had one", async t => {
+  const {reader, logged} = createReader()
+  t.ok(reader.readBackend(entryOf(VALID, 5)))
+  t.notOk(reader.readBackend(entryOf({...VALID, born: undefined}, 6)))
+  t.same(logged, ["entry-unreadable servers/w"])
+  t.ok(reader.readBackend(entryOf(VALID, 7)), "a later valid entry is accepted")
   t.equal(reader.unreadable, 0)
 })
 
-t.test("each content that cannot be read is told once, and counted by key", async t => {
-  const {reader, told} = createReader()
-  const list = [entryOf("{", 5, "x"), entryOf(GOOD, 6), entryOf({}, 7, "y")]
+t.test("unreadable entries are logged once per content, counted by key", async t => {
+  const {reader, logged} = createReader()
+  const list = [entryOf("{", 5, "x"), entryOf(VALID, 6), entryOf({}, 7, "y")]
   for (let i = 0; i < 5; i++) {
     const {records, unreadable} = reader.readBackends(list)
     t.same(
@@ -72,14 +72,14 @@
     )
     t.same([...unreadable].sort(), ["x", "y"])
   }
-  t.same(told, ["entry-unreadable servers/x", "entry-unreadable servers/y"])
+  t.same(logged, ["entry-unreadable servers/x", "entry-unreadable servers/y"])
   t.equal(reader.unreadable, 2)
-  reader.readBackends([entryOf(GOOD, 6)])
-  t.equal(reader.unreadable, 0, "and not when it is gone")
+  reader.readBackends([entryOf(VALID, 6)])
+  t.equal(reader.unreadable, 0, "removed entries are not counted")
 })
 
-/** One field of a value is left out, or becomes another. */
-function spoil(value: object, below: (limit: number) => number): unknown {
+/** Removes one field of a value or replaces its value. */
+function corrupt(value: object, below: (limit: number) => number): unknown {
   const other = [
     undefined,
     null,
@@ -99,7 +99,7 @@
   return {...value, [name]: other[below(other.length)]}
 }
 
-function draw(seed: number): (limit: number) => number {
+function createRandomBelow(seed: number): (limit: number) => number {
   let state = createRandom(seed)
   return limit => {
     const [value, next] = uniformFloat64(state)
@@ -108,22 +108,22 @@
   }
 }
 
-function cut(text: string, below: (limit: number) => number): string {
+function corruptText(text: string, below: (limit: number) => number): string {
   return text.slice(0, below(text.length)) + String.fromCharCode(below(256))
 }
 
 t.test(
-  "whatever an entry or report holds, it is read whole or found unreadable",
+  "a corrupted entry or report is parsed completely or rejected as unreadable",
   async t => {
-    let read = 0
+    let parsed = 0
     for (let seed = 1; seed <= ROUNDS; seed++) {
-      const below = draw(seed)
-      const spoilt = spoil(below(2) === 0 ? GOOD : REPORT, below)
-      const text = JSON.stringify(spoilt)
-      const value = below(3) === 0 ? cut(text, below) : text
+      const below = createRandomBelow(seed)
+      const corrupted = corrupt(below(2) === 0 ? VALID : REPORT, below)
+      const text = JSON.stringify(corrupted)
+      const value = below(3) === 0 ? corruptText(text, below) : text
       try {
         const record = platformRecords.readBackend(entryOf(value, seed))
-        read++
+        parsed++
         t.match(record.address, /^\d+\.\d+\.\d+\.\d+:\d+$/, value)
         t.ok(record.service !== "" && record.dataCentre !== "", value)
       } catch (cause) {
@@ -136,14 +136,14 @@
         t.ok(cause instanceof UnreadableEntry, `seed ${seed}: ${String(cause)}`)
       }
     }
-    t.ok(read > 0, "some fields may be missing")
+    t.ok(parsed > 0, "entries without optional fields are accepted")
   }
 )
 
 t.test(
-  "operators' entries are read once for each change, and the good ones count",
+  "operators' entries are parsed once for each change, and invalid ones are ignored",
   async t => {
-    const {reader, told} = createReader()
+    const {reader, logged} = createReader()
     const version = {model: "m", adapter: "a", version: 4}
     const entries = [
       {key: "op/version/m.a", value: JSON.stringify(version), revision: 3},
@@ -152,6 +152,6 @@
     ]
     t.same(reader.readOperators(entries), {configs: [], versions: [["m/a", 4]]})
     t.same(reader.readOperators(entries), {configs: [], versions: []})
-    t.equal(told.length, 2)
+    t.equal(logged.length, 2)
   }
 )
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,4 +1,4 @@
-/** Settings, the catalogue and the command line as operators meet them. */
+/** Validation of settings, the check-settings command and the version. */
 import {mkdtempSync, readFileSync, writeFileSync} from "node:fs"
 import {tmpdir} from "node:os"
 import {join} from "node:path"
@@ -26,7 +26,7 @@
   }
 }
 
-t.test("all findings are reported at once, each with its place", async t => {
+t.test("all findings are reported together, each with its JSON pointer", async t => {
   t.same(findingsOf(VALID), [])
   const broken = {
     ...VALID,
--- a/test/start.test.ts
+++ b/test/start.test.ts
@@ -1,4 +1,4 @@
-/** A box that is asked to reload while it still starts goes on starting. */
+/** A box that receives SIGHUP while it starts keeps starting. */
 import {spawn} from "node:child_process"
 import {readFileSync} from "node:fs"
 import {fileURLToPath} from "node:url"
@@ -7,12 +7,12 @@
 
 const PROGRAM = fileURLToPath(new URL("../platform/start.js", import.meta.url))
 
-/** Runs the program without what the test runner loads into each process: it handles signals, too. */
+/** Runs the program without the test runner's hooks, which also handle signals. */
 const RUN_ALONE = 'NODE_OPTIONS= exec "$0" "$@"'
 
 /**
- * Whether a process has a handler for SIGHUP, by the kernel's mask of caught signals. Until it
- * runs node, a new process shows the mask of the shell.
+ * Whether a process has a handler for SIGHUP, by the kernel's mask of caught signals.
+ * Until a new process runs node, the mask is that of the shell.
  */
 function catchesHangUp(pid: number): boolean {
   try {
@@ -25,8 +25,8 @@
   }
 }
 
-// Seen in soaks and days: a SIGHUP in the first 300 ms of a process ended it.
-t.test("a SIGHUP while its program is still loaded does not end a box", async t => {
+// Guards against a fault: a SIGHUP in the first 300 ms of a process ended it.
+t.test("a SIGHUP while the program is being loaded does not end a box", async t => {
   const child = spawn("/bin/sh", [
     "-c",
     RUN_ALONE,
@@ -42,6 +42,6 @@
   child.kill("SIGHUP")
   await until("the program has run", ended)
   t.equal(child.signalCode, null)
-  // Its output may be read after its end is seen.
-  await until("what it wrote is read", () => output.includes("sedge-box"))
+  // The output may arrive after the exit event.
+  await until("the output arrives", () => output.includes("sedge-box"))
 })
--- a/test/stop.test.ts
+++ b/test/stop.test.ts
@@ -1,4 +1,7 @@
-/** Planned stops: no request in progress is cut, none refused that another box could take. */
+/**
+ * Planned stops: no request in progress is aborted, and none is rejected that another box
+ * could serve.
+ */
 import {request} from "undici"
 import t from "tap"
 import {Calls} from "./support/calls.js"
@@ -15,7 +18,7 @@
   }
 }
 
-t.test("all boxes are stopped and started one after another under load", async t => {
+t.test("no request fails in a rolling restart of all boxes under load", async t => {
   const deployment = await Deployment.start({
     boxes: 3,
     engines: [{slots: 4}, {slots: 4}],
@@ -23,13 +26,13 @@
   })
   t.teardown(() => deployment.stop())
   const calls = new Calls(deployment)
-  // The balancer: sends to boxes that were ready when it last looked.
+  // Acts as the balancer, which sends to boxes that were ready at its last check.
   let ready: readonly Box[] = deployment.boxes
-  const looking = setInterval(async () => {
+  const readinessPoll = setInterval(async () => {
     const flags = await Promise.all(deployment.boxes.map(isReady))
     ready = deployment.boxes.filter((_, index) => flags[index])
   }, 50)
-  t.teardown(() => clearInterval(looking))
+  t.teardown(() => clearInterval(readinessPoll))
 
   const rolling = (async () => {
     for (const box of deployment.boxes) {
