--- a/src/adapters/backend-pools.ts
+++ b/src/adapters/backend-pools.ts
@@ -1,4 +1,7 @@
-/** Connections to backend servers: one `undici` pool each, one request at a time a connection. */
+/**
+ * Connections to backend servers: a pool for each, one request at a time per
+ * connection.
+ */
 import type {Socket} from "node:net"
 import {buildConnector, type Dispatcher, Pool} from "undici"
 
@@ -9,27 +12,28 @@
   readonly body: Buffer | null
 }
 
-/** What becomes of a send; `abort` closes its connection. */
+/** Callbacks of a request and its answer. */
 export interface SendHandler {
-  /** Bytes leave from now on; false: they must not. */
+  /**
+   * Called before the first byte is sent. `abort` closes the connection. False cancels
+   * the request.
+   */
   readonly started: (abort: () => void) => boolean
   readonly head: (status: number, headers: string[]) => void
-  /** False: read no more until `resume`. */
   readonly data: (chunk: Buffer) => void
   readonly done: () => void
   readonly failed: (cause: Error) => void
 }
 
-const CONNECT_MS = 900
-const IDLE_MS = 8_000
-/** A backend server closes idle connections by its own time; this is taken off what it says. */
-const IDLE_MARGIN_MS = 600
+const CONNECT_TIMEOUT_MS = 900
+const KEEP_ALIVE_MS = 8_000
+/** Subtracted from the keep-alive timeout that a backend server advertises. */
+const KEEP_ALIVE_MARGIN_MS = 600
 
-/** Pools by backend server; a new one behind an old address gets a pool of its own. */
+/** Pools by backend server id. A new server at an old address gets a pool of its own. */
 export class BackendPools {
   private readonly pools_ = new Map<string, Pool>()
 
-  /** Sends a request over a connection of the backend server. */
   send(
     id: string,
     address: string,
@@ -52,7 +56,7 @@
     )
   }
 
-  /** Keeps the pools of these backend servers only; requests in progress end first. */
+  /** Closes the pools of all other backend servers after their requests in progress. */
   keep(ids: ReadonlySet<string>): void {
     for (const [id, pool] of this.pools_) {
       if (ids.has(id)) continue
@@ -68,55 +72,58 @@
   }
 
   private poolOf(id: string, address: string, connections: number): Pool {
-    const known = this.pools_.get(id)
-    if (known) return known
+    const existing = this.pools_.get(id)
+    if (existing) return existing
     const pool = new Pool(`http://${address}`, {
       connections,
       pipelining: 1,
-      connect: connectTellingResets,
+      connect: connectReportingResets,
       headersTimeout: 0,
       bodyTimeout: 0,
-      keepAliveTimeout: IDLE_MS,
-      keepAliveTimeoutThreshold: IDLE_MARGIN_MS
+      keepAliveTimeout: KEEP_ALIVE_MS,
+      keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS
     })
     this.pools_.set(id, pool)
     return pool
   }
 }
 
-const connect = buildConnector({timeout: CONNECT_MS})
+const connect = buildConnector({timeout: CONNECT_TIMEOUT_MS})
 
-/** A code that `undici` does not know: it would take `ECONNRESET` for the end of an answer. */
+/**
+ * A code that `undici` does not handle. It treats `ECONNRESET` as the end of an answer.
+ */
 const RESET_CODE = "RESET_BY_PEER"
 
 /**
- * Connects so that a reset is told as what it is: the answer broke. An answer without a length
- * ends with its connection, and for those `undici` takes a reset for the end.
+ * Connects so that a reset is reported as a broken answer. An answer without a length
+ * ends when its connection ends, and `undici` treats a reset as this end.
  */
-const connectTellingResets: buildConnector.connector = (options, callback) => {
+const connectReportingResets: buildConnector.connector = (options, callback) => {
   connect(options, (...result) => {
     const [, socket] = result
-    if (socket) tellResets(socket)
+    if (socket) reportResets(socket)
     callback(...result)
   })
 }
 
-function tellResets(socket: Socket): void {
+function reportResets(socket: Socket): void {
   socket.prependListener("error", (cause: NodeJS.ErrnoException) => {
     if (cause.code === "ECONNRESET") cause.code = RESET_CODE
   })
   const emit = socket.emit.bind(socket)
   socket.emit = (event: string | symbol, ...args: unknown[]): boolean => {
     if (event !== "end" || !wasReset(socket)) return emit(event, ...args)
-    const cause = new Error("reset by the peer")
+    const cause = new Error("connection reset by the backend server")
     socket.destroy(Object.assign(cause, {code: RESET_CODE}))
     return true
   }
 }
 
 /**
- * Where bytes and a reset come in one turn, the event loop tells an end. Only a connection that is
- * closed both ways has no peer any more; its address must not have been asked for before.
+ * Whether an `end` event stands for a reset, as it does when bytes and a reset arrive
+ * in the same turn of the event loop. Only a connection closed in both directions has
+ * no peer address. The socket caches that address, so nothing may read it earlier.
  */
 function wasReset(socket: Socket): boolean {
   return socket.remoteAddress === undefined
@@ -125,7 +132,7 @@
 function adapt(handler: SendHandler): Dispatcher.DispatchHandler {
   return {
     onRequestStart(controller) {
-      const abort = (): void => controller.abort(new Error("aborted"))
+      const abort = (): void => controller.abort(new Error("request aborted by the box"))
       if (!handler.started(abort)) abort()
     },
     onResponseStart(controller, status) {
--- a/src/adapters/era-source.ts
+++ b/src/adapters/era-source.ts
@@ -1,4 +1,7 @@
-/** The era of the key-value service, as answers and other boxes tell it; listeners hear before an answer is used. */
+/**
+ * Tracks the era of the key-value service from its answers and from other boxes.
+ * Listeners are called before the answer that reports a new era is used.
+ */
 import {HIGHEST_ERA, type KnownEra, mergeEra} from "../core/eras.js"
 import {KvUnknown} from "../errors.js"
 import type {ReportedEra} from "../types/box-messages.js"
@@ -9,14 +12,17 @@
 
 type Oddity = "none told" | "no number" | "falls"
 
-export type EraListener = (known: KnownEra, rose: boolean) => void
+export type EraListener = (known: KnownEra, wasRestored: boolean) => void
 
 export class StoreEras {
   private known_: KnownEra | undefined
-  /** Since when this process knows it: calls that were sent before may be answered from the era before. */
-  private knownAt_ = -Infinity
+  /**
+   * When this process learned the era. Calls sent before may be answered from the
+   * previous one.
+   */
+  private learnedAt_ = -Infinity
   private readonly listeners_: EraListener[] = []
-  private readonly odd_ = new Set<Oddity>()
+  private readonly loggedOddities_ = new Set<Oddity>()
 
   constructor(private readonly log_: Log) {}
 
@@ -28,11 +34,11 @@
     return this.known_?.era
   }
 
-  /** What other boxes are told; undefined: the service tells no era. */
+  /** Returns the era to send to other boxes. Undefined if the service reports none. */
   tell(now: number): ReportedEra | undefined {
     if (!this.known_) return undefined
-    const {era, begunBy: by, restored: risen} = this.known_
-    return {era, ageMs: now - by, risen}
+    const {era, begunBy, restored} = this.known_
+    return {era, ageMs: now - begunBy, risen: restored}
   }
 
   listen(listener: EraListener): void {
@@ -40,48 +46,49 @@
   }
 
   /**
-   * The era of an answer, from its header. One that tells none, or less than before, counts as of the era
-   * that is known: it is trusted for no more than that, and nothing is given up for it.
-   * @throws KvUnknown if the answer is from before the era that is known.
+   * Returns the era of an answer by its header. An answer without an era, or with a lower
+   * one, counts as of the known era, so nothing is discarded because of it.
+   * @throws KvUnknown if the call was sent before the known era was learned and was
+   * answered from an earlier one.
    */
   place(header: string | undefined, sentAt: number): number | undefined {
     if (header === undefined && !this.known_) return undefined
     const era = readEra(header)
     if (era === undefined) {
-      this.tellOdd(header === undefined ? "none told" : "no number", header)
+      this.logOddity(header === undefined ? "none told" : "no number", header)
       return this.era
     }
     if (this.known_ && era < this.known_.era) {
-      if (sentAt < this.knownAt_)
-        throw new KvUnknown("it answered from before its return")
-      this.tellOdd("falls", header)
+      if (sentAt < this.learnedAt_)
+        throw new KvUnknown("the key-value service answered from before its restore")
+      this.logOddity("falls", header)
       return this.era
     }
     if (era === this.era) return era
-    const risen = this.known_ !== undefined
-    this.take({era, begunBy: clockNow(), restored: risen})
+    const restored = this.known_ !== undefined
+    this.merge({era, begunBy: clockNow(), restored})
     return era
   }
 
-  /** Another box told. */
+  /** Handles the era reported by another box. */
   hear({era, ageMs, risen}: ReportedEra): void {
-    this.take({era, begunBy: clockNow() - ageMs, restored: risen})
+    this.merge({era, begunBy: clockNow() - ageMs, restored: risen})
   }
 
-  private take(told: KnownEra): void {
+  private merge(reported: KnownEra): void {
     const before = this.known_
-    const known = mergeEra(before, told)
+    const known = mergeEra(before, reported)
     if (known === before) return
     this.known_ = known
-    if (known.era !== before?.era) this.knownAt_ = clockNow()
-    const rose = known.restored && !(before?.era === known.era && before.restored)
-    if (rose) this.log_("era-rose", {era: known.era, before: before?.era ?? -1})
-    for (const listener of this.listeners_) listener(known, rose)
+    if (known.era !== before?.era) this.learnedAt_ = clockNow()
+    const wasRestored = known.restored && !(before?.era === known.era && before.restored)
+    if (wasRestored) this.log_("era-rose", {era: known.era, before: before?.era ?? -1})
+    for (const listener of this.listeners_) listener(known, wasRestored)
   }
 
-  private tellOdd(oddity: Oddity, header: string | undefined): void {
-    if (this.odd_.has(oddity)) return
-    this.odd_.add(oddity)
+  private logOddity(oddity: Oddity, header: string | undefined): void {
+    if (this.loggedOddities_.has(oddity)) return
+    this.loggedOddities_.add(oddity)
     const told = header?.slice(0, 20) ?? ""
     this.log_("era-odd", {oddity, told, era: this.era ?? -1})
   }
--- a/src/adapters/news-help.ts
+++ b/src/adapters/news-help.ts
@@ -1,57 +1,60 @@
 /**
- * Asks other boxes to read the key-value service for this one, which it turns away or does not answer.
- * A box that the service turns away cannot even find out who leads.
+ * Requests store snapshots from other boxes, for a box that the key-value service rejects
+ * or does not answer. Such a box cannot even find out which box leads.
  */
 import type {StoreSnapshotRequest, StoreSnapshot} from "../types/box-messages.js"
 import {firstOf} from "../utils/promises.js"
 import {askNews} from "./box-links.js"
 
-/** Boxes that are asked at once: some may be turned away, too. */
-const BOXES = 3
+/** Number of boxes asked at once, since the service may reject some of them, too. */
+const BOXES_PER_REQUEST = 3
 
-/** Their connections, a list of theirs, a late one included, and the ways, milliseconds. */
-const ANSWER_MS = 400
+/** Allows for the link delays, connecting, and a list that includes a late answer. */
+const ANSWER_TIMEOUT_MS = 400
 
-/** Addresses of other boxes that are remembered: enough that some still stand after many were replaced. */
-const MAX_KNOWN = 24
+/**
+ * Limits the addresses kept. Enough for some to be valid after many boxes were
+ * replaced.
+ */
+const MAX_ADDRESSES = 24
 
 export class NewsHelp {
-  /** Where other boxes take links, the one that was heard of last at the end. */
-  private readonly known_ = new Set<string>()
+  /** Addresses at which other boxes accept links, the most recently reported last. */
+  private readonly addresses_ = new Set<string>()
 
   constructor(
-    private readonly self_: string,
-    private readonly ask_: typeof askNews = askNews
+    private readonly ownAddress_: string,
+    private readonly request_: typeof askNews = askNews
   ) {}
 
-  /** Other boxes take links there. */
+  /** Adds addresses at which other boxes accept links. */
   learn(addresses: readonly string[]): void {
     for (const address of addresses) {
-      if (address === this.self_) continue
-      this.known_.delete(address)
-      this.known_.add(address)
+      if (address === this.ownAddress_) continue
+      this.addresses_.delete(address)
+      this.addresses_.add(address)
     }
-    for (const oldest of this.known_) {
-      if (this.known_.size <= MAX_KNOWN) return
-      this.known_.delete(oldest)
+    for (const oldest of this.addresses_) {
+      if (this.addresses_.size <= MAX_ADDRESSES) return
+      this.addresses_.delete(oldest)
     }
   }
 
-  /** The news of the first box that can read the service; undefined: none can. */
-  async ask(ask: StoreSnapshotRequest): Promise<StoreSnapshot | undefined> {
-    const asked = this.draw().map(async address => {
-      const news = await this.ask_(address, ask, ANSWER_MS)
-      if (!news) throw new Error(`${address} has no news`)
-      return news
+  /** Returns the first snapshot that another box sends. Undefined if none does. */
+  async ask(request: StoreSnapshotRequest): Promise<StoreSnapshot | undefined> {
+    const answers = this.selectBoxes().map(async address => {
+      const snapshot = await this.request_(address, request, ANSWER_TIMEOUT_MS)
+      if (!snapshot) throw new Error(`box ${address} sent no store snapshot`)
+      return snapshot
     })
-    // That no box answers is no error: whoever asked notes that it has no news.
-    return asked.length === 0 ? undefined : firstOf(asked).catch(() => undefined)
+    // No answer is not an error: the caller handles a missing snapshot.
+    return answers.length === 0 ? undefined : firstOf(answers).catch(() => undefined)
   }
 
-  /** Some of the boxes, by chance. */
-  private draw(): string[] {
-    const all = [...this.known_]
+  /** Returns addresses from a random position on. */
+  private selectBoxes(): string[] {
+    const all = [...this.addresses_]
     const first = Math.floor(Math.random() * all.length)
-    return [...all.slice(first), ...all.slice(0, first)].slice(0, BOXES)
+    return [...all.slice(first), ...all.slice(0, first)].slice(0, BOXES_PER_REQUEST)
   }
 }
--- a/src/adapters/news-source.ts
+++ b/src/adapters/news-source.ts
@@ -1,7 +1,8 @@
 /**
- * Where a box learns of configuration and backend servers: from its leader while that reads the
- * store, else by reading it itself, else from other boxes that can. Every read is paid for, so that
- * few boxes read the store and pass on what they learn; `news-age.ts` says how old news may be.
+ * Chooses where a box gets its store snapshot (configuration and backend servers): from
+ * its leader while that reads the key-value service, else by reading the service itself,
+ * else from other boxes that can. Every read is paid for, so few boxes read the service
+ * and pass on what they read. `core/snapshot-age.ts` limits the age of a snapshot.
  */
 import type {StoreRead} from "../core/backend-list.js"
 import {
@@ -33,105 +34,116 @@
 import {listForOthers, type Listing, StoreFollower} from "./store-follower.js"
 import type {StorePosition} from "../types/store-position.js"
 
-/** A box that starts gives itself so long to find a leader that tells it the news, milliseconds. */
-const START_MS = 600
+/** Time for a starting box to find a leader before it reads the store itself. */
+const LEADER_SEARCH_MS = 600
 
 export interface NewsOptions extends OperatorNewsOptions {
-  /** The news of this box is newer than before, by its own reading or another box's. */
+  /** Called when a read by this box or by one that it asked renewed the snapshot. */
   readonly renewed: () => void
-  /** When the process started, by the clock of `choose`. */
+  /** When the process started, by the clock of `selectSource`. */
   readonly startedAt: number
-  /** Asks the leader for all it knows. */
+  /** Requests a full update from the leader. */
   readonly askAll: () => void
-  /** Asks other boxes to read the store; undefined: none of them could. */
-  readonly askBoxes: (ask: StoreSnapshotRequest) => Promise<StoreSnapshot | undefined>
+  /** Asks other boxes to read the store. Undefined if none could. */
+  readonly askBoxes: (request: StoreSnapshotRequest) => Promise<StoreSnapshot | undefined>
   readonly eras: StoreEras
   readonly settled: SettledEra
 }
 
 export class NewsSource {
   private follower_: StoreFollower | undefined
-  /** Whether it watches, and does not only list. */
+  /** Whether the follower also watches the store between two lists. */
   private watches_ = false
-  private age_ = createSnapshotAge()
-  /** Where the store stood at the last list of each prefix. */
-  private readonly listedTo_ = new Map<string, StorePosition>()
-  /** When the newest list of each prefix was asked for. */
+  private snapshotAge_ = createSnapshotAge()
+  /** Position of the last list of each prefix. */
+  private readonly listedPositions_ = new Map<string, StorePosition>()
+  /** When the newest list of each prefix was requested. */
   private readonly listedAt_ = new Map<string, number>()
-  /** When the store was read for the configuration that this box has, or before. */
+  /** Lower bound of the time of the store read behind this box's configuration. */
   private configReadAt_ = -Infinity
   private trouble_: StoreTrouble = "none"
-  private askAt_ = -Infinity
-  /** Asks in turn that brought no news. */
-  private failedAsks_ = 0
-  private heardLeader_ = false
-  /** What it hears may have waited while the process stood still: it reads for itself first. */
-  private rereads_ = false
-  private reading_: Promise<void> | undefined
-  private readonly told_ = new ToldBackends()
-  private readonly operator_: OperatorNews
+  private nextPeerReadAt_ = -Infinity
+  /** Requests to other boxes in a row that brought no snapshot. */
+  private failedPeerReads_ = 0
+  private hasLeaderUpdate_ = false
+  /**
+   * After a process pause: received updates may have waited meanwhile, so the box reads
+   * the store itself first.
+   */
+  private mustReread_ = false
+  private pendingRead_: Promise<void> | undefined
+  private readonly leaderBackends_ = new ToldBackends()
+  private readonly operatorState_: OperatorNews
   private readonly reader_: EntryReader
 
   constructor(private readonly options_: NewsOptions) {
     this.reader_ = new EntryReader(options_.records, options_.log)
-    this.operator_ = new OperatorNews(options_, this.reader_)
+    this.operatorState_ = new OperatorNews(options_, this.reader_)
   }
 
-  /** Keys whose entries cannot be read, as this box last read them. */
+  /** Number of keys whose entries could not be parsed at the last read. */
   get unreadable(): number {
     return this.reader_.unreadable
   }
 
   get config(): FleetConfig | undefined {
-    return this.operator_.config
+    return this.operatorState_.config
   }
 
-  /** Since the store was read for what this box knows, milliseconds; Infinity: it never was. */
+  /** Age of this box's snapshot. Infinity if there is none. */
   ageMs(now: number): number {
-    return snapshotAgeMs(this.age_, now)
+    return snapshotAgeMs(this.snapshotAge_, now)
   }
 
-  /** The same of what it read itself or had read: what a leader may vouch for. */
+  /**
+   * Age of the newest read by this box, or by another at its request. Infinity if that
+   * may have returned restored entries.
+   */
   ownAgeMs(now: number): number {
     if (this.options_.settled.isDoubted(now)) return Infinity
-    return now - this.age_.readAt
+    return now - this.snapshotAge_.readAt
   }
 
-  /** The same for the configuration that this box has, by whomever read it. */
+  /** Age of the configuration, whichever box read it. Infinity as for `ownAgeMs`. */
   configAgeMs(now: number): number {
     return this.options_.settled.isDoubted(now) ? Infinity : now - this.configReadAt_
   }
 
-  /** The leader's news rests on a reading that is so old, and its configuration on one as old as that. */
+  /** Handles the ages of the leader's snapshot and configuration. */
   heardLeader(ageMs: number, configAgeMs: number, now: number): void {
-    this.heardLeader_ = true
-    if (this.rereads_) return
-    // A configuration that was named and not read yet is newer than what this box has.
-    if (!this.operator_.isBehind) this.noteConfigRead(now - configAgeMs)
-    this.age_ = recordLeaderRead(this.age_, now - ageMs)
+    this.hasLeaderUpdate_ = true
+    if (this.mustReread_) return
+    // If a newer configuration was announced but is not read yet, the age is not that of
+    // this box's configuration.
+    if (!this.operatorState_.isBehind) this.recordConfigRead(now - configAgeMs)
+    this.snapshotAge_ = recordLeaderRead(this.snapshotAge_, now - ageMs)
     this.options_.post({type: "news", at: now - ageMs, read: true})
   }
 
-  /** The process stood still: where its news has grown old, neither old asks nor old answers count. */
+  /**
+   * Handles the end of a process pause. If the snapshot is too old, pending requests and
+   * their answers no longer count.
+   */
   resume(now: number): void {
     const ageMs = this.ageMs(now)
     if (ageMs === Infinity || ageMs < REFRESH_AGE_MS) return
-    this.rereads_ = true
+    this.mustReread_ = true
     this.follower_?.stop()
     this.follower_ = undefined
   }
 
-  /** Reads the store if nobody else can tell the news; `leading` boxes always do. */
+  /** Starts or stops reading the store. A leader always reads it. */
   choose(leading: boolean, now: number): void {
     if (leading) this.startFollowing(true, now)
-    else if (!this.rereads_ && hasFreshLeaderRead(this.age_, now)) this.trustLeader()
-    else if (!this.seeksLeader(now)) this.startFollowing(false, now)
-    if (this.follower_?.isFailing(now)) this.seekHelp(now)
+    else if (!this.mustReread_ && hasFreshLeaderRead(this.snapshotAge_, now))
+      this.trustLeader()
+    else if (!this.isSeekingLeader(now)) this.startFollowing(false, now)
+    if (this.follower_?.isFailing(now)) this.requestPeerSnapshot(now)
   }
 
-  /** It has just started: a leader that it finds makes reading needless. */
-  private seeksLeader(now: number): boolean {
-    return !this.heardLeader_ && now - this.options_.startedAt < START_MS
+  /** Whether this box has just started and may still find a leader, which saves reads. */
+  private isSeekingLeader(now: number): boolean {
+    return !this.hasLeaderUpdate_ && now - this.options_.startedAt < LEADER_SEARCH_MS
   }
 
   stopFollowing(): void {
@@ -144,14 +156,15 @@
   private trustLeader(): void {
     if (!this.follower_) return
     this.stopFollowing()
-    // The leader reads the store, whatever this box had of it.
+    // The leader reads the store, so the store works even if this box's calls failed.
     if (this.trouble_ === "store") this.options_.post({type: "store-served"})
-    // The leader tells differences to what it told before, of which this box may have undone some.
-    if (this.told_.strayed || this.trouble_ !== "none") this.options_.askAll()
+    // The leader sends deltas to its earlier updates, some of which this box's own reads
+    // may have undone.
+    if (this.leaderBackends_.strayed || this.trouble_ !== "none") this.options_.askAll()
     this.trouble_ = "none"
   }
 
-  /** A leader watches, since all boxes hear of the world through it; any other box lists. */
+  /** Only a leader also watches, since all boxes depend on its updates. */
   private startFollowing(leading: boolean, now: number): void {
     if (this.follower_ && leading === this.watches_) return
     this.follower_?.stop()
@@ -160,7 +173,7 @@
     log("news-from-store", {
       leading,
       ageMs: Math.round(this.ageMs(now)),
-      leaderAgeMs: Math.round(now - this.age_.leaderReadAt)
+      leaderAgeMs: Math.round(now - this.snapshotAge_.leaderReadAt)
     })
     this.listedAt_.clear()
     this.follower_ = new StoreFollower(
@@ -168,183 +181,186 @@
       [records.operatorPrefix, records.backendPrefix],
       leading,
       {
-        list: (prefix, listing) => this.takeListing(prefix, listing),
-        change: (prefix, change) => this.takeChange(prefix, change),
-        trouble: (prefix, reason) => this.noteFailure(prefix, reason),
+        list: (prefix, listing) => this.applyListing(prefix, listing),
+        change: (prefix, change) => this.applyChange(prefix, change),
+        trouble: (prefix, reason) => this.recordFailure(prefix, reason),
         cut: (prefix, reason) => log("kv-watch-cut", {prefix, reason})
       }
     )
   }
 
-  private takeListing(prefix: string, listing: Listing): void {
+  private applyListing(prefix: string, listing: Listing): void {
     const {records, post, log, settled} = this.options_
-    if (!settled.isChecked) return this.takeOnceChecked(prefix, listing)
+    if (!settled.isChecked) return this.applyOnceChecked(prefix, listing)
     const {entries, askedAt} = listing
-    this.noteListing(prefix, listing)
+    this.recordPosition(prefix, listing)
     if (askedAt < (this.listedAt_.get(prefix) ?? -Infinity)) return
     if (prefix === records.backendPrefix) {
       const listed = this.reader_.readBackends(entries)
-      this.told_.compare(listed.records)
+      this.leaderBackends_.compare(listed.records)
       post({type: "backends", ...listed, reading: {source: "store", readAt: askedAt}})
-      // Read for another box. The leader tells differences alone: what it took away here is not told again.
-      if (!this.follower_ && this.told_.strayed) this.options_.askAll()
+      // This read was for another box. The leader sends deltas only, so it would not
+      // resend the servers that this list removed.
+      if (!this.follower_ && this.leaderBackends_.strayed) this.options_.askAll()
     } else {
-      this.operator_.takeEntries(entries)
-      this.noteConfigRead(askedAt)
+      this.operatorState_.takeEntries(entries)
+      this.recordConfigRead(askedAt)
     }
     this.listedAt_.set(prefix, askedAt)
     if (this.listedAt_.size < 2) return
     const readAt = Math.min(...this.listedAt_.values())
-    if (readAt <= this.age_.readAt) return
-    this.failedAsks_ = 0
+    if (readAt <= this.snapshotAge_.readAt) return
+    this.failedPeerReads_ = 0
     if (this.trouble_ !== "none") log("kv-back")
     if (this.trouble_ === "store") post({type: "store-back"})
     this.trouble_ = "none"
-    this.noteRead(readAt)
+    this.recordStoreRead(readAt)
   }
 
-  private takeOnceChecked(prefix: string, listing: Listing): void {
+  private applyOnceChecked(prefix: string, listing: Listing): void {
     void this.options_.settled.check().then(checked => {
-      if (checked) this.takeListing(prefix, listing)
+      if (checked) this.applyListing(prefix, listing)
     })
   }
 
-  /** Tells of the first list in a new era how far the store went back. */
-  private noteListing(prefix: string, {entries, revision, era}: Listing): void {
-    const last = this.listedTo_.get(prefix)
-    this.listedTo_.set(prefix, {revision, era})
+  /** Records the position of a list. Logs how far the store went back in a new era. */
+  private recordPosition(prefix: string, {entries, revision, era}: Listing): void {
+    const last = this.listedPositions_.get(prefix)
+    this.listedPositions_.set(prefix, {revision, era})
     if (!last || last.era === era) return
     const fields = {prefix, era: era ?? -1, keys: entries.length}
     this.options_.log("era-read", {...fields, revision, before: last.revision})
   }
 
-  private noteConfigRead(at: number): void {
+  private recordConfigRead(at: number): void {
     if (at <= this.configReadAt_) return
     this.configReadAt_ = at
     this.options_.post({type: "config-read", at})
   }
 
-  /** The store was read at that time, by this box or by one that it asked. */
-  private noteRead(at: number): void {
-    this.age_ = recordRead(this.age_, at)
-    this.rereads_ = false
+  /** Records a store read by this box, or by one that it asked. */
+  private recordStoreRead(at: number): void {
+    this.snapshotAge_ = recordRead(this.snapshotAge_, at)
+    this.mustReread_ = false
     this.options_.post({type: "news", at, read: true})
     this.options_.renewed()
   }
 
-  private noteFailure(prefix: string, reason: string): void {
+  private recordFailure(prefix: string, reason: string): void {
     if (this.trouble_ !== "none") return
     this.options_.log("kv-trouble", {prefix, reason})
     this.trouble_ = "own"
-    this.noteOutage(clockNow())
+    this.recordOutage(clockNow())
   }
 
-  /** Nobody has read the store for longer than news may be old: it may be away for all. */
-  private noteOutage(now: number): void {
+  /** Reports an outage of the store if no box has read it for too long. */
+  private recordOutage(now: number): void {
     if (this.trouble_ === "store" || this.ageMs(now) < REFRESH_AGE_MS) return
     this.trouble_ = "store"
     this.options_.post({type: "store-trouble"})
   }
 
-  /** Has other boxes read the store, where this one cannot. */
-  private seekHelp(now: number): void {
-    this.noteOutage(now)
-    if (this.trouble_ === "store") this.sendOn(now)
-    if (now < this.askAt_ || this.ownAgeMs(now) < LIST_INTERVAL_MS) return
-    this.askAt_ = now + peerReadPauseMs(this.failedAsks_)
-    this.failedAsks_++
-    void this.takeHelp(now)
+  /** Asks other boxes to read the store while this one cannot. */
+  private requestPeerSnapshot(now: number): void {
+    this.recordOutage(now)
+    if (this.trouble_ === "store") this.releaseRequests(now)
+    if (now < this.nextPeerReadAt_ || this.ownAgeMs(now) < LIST_INTERVAL_MS) return
+    this.nextPeerReadAt_ = now + peerReadPauseMs(this.failedPeerReads_)
+    this.failedPeerReads_++
+    void this.fetchPeerSnapshot(now)
   }
 
-  /** Nothing newer is to be had: requests do not wait for it. */
-  private sendOn(now: number): void {
-    this.rereads_ = false
+  /** Lets requests continue with the stale snapshot, since no newer one can be had. */
+  private releaseRequests(now: number): void {
+    this.mustReread_ = false
     this.options_.post({type: "news", at: now, read: false})
   }
 
-  private async takeHelp(askedAt: number): Promise<void> {
+  private async fetchPeerSnapshot(askedAt: number): Promise<void> {
     const {askBoxes, eras, post, log} = this.options_
-    const news = await askBoxes({
+    const snapshot = await askBoxes({
       t: "ask-news",
-      configVersion: this.operator_.configVersion,
+      configVersion: this.operatorState_.configVersion,
       ageMs: this.ageMs(askedAt)
     })
-    if (!this.follower_ || !news) return
-    this.failedAsks_ = 0
-    if (news.storeEra) eras.hear(news.storeEra)
-    const {ageMs, records, config, versions} = news
+    if (!this.follower_ || !snapshot) return
+    this.failedPeerReads_ = 0
+    if (snapshot.storeEra) eras.hear(snapshot.storeEra)
+    const {ageMs, records, config, versions} = snapshot
     const at = askedAt - ageMs
-    if (at <= this.age_.readAt) return
+    if (at <= this.snapshotAge_.readAt) return
     log("news-from-box", {ageMs: Math.round(clockNow() - at)})
     if (this.trouble_ === "store") {
       post({type: "store-served"})
       this.trouble_ = "own"
     }
-    this.told_.compare(records)
+    this.leaderBackends_.compare(records)
     post({type: "backends", records, reading: {source: "box", readAt: at}})
-    if (config) this.operator_.takeConfig(config, "box")
-    this.noteConfigRead(askedAt - (news.configAgeMs ?? Infinity))
-    this.operator_.takeVersions(versions)
-    this.noteRead(at)
+    if (config) this.operatorState_.takeConfig(config, "box")
+    this.recordConfigRead(askedAt - (snapshot.configAgeMs ?? Infinity))
+    this.operatorState_.takeVersions(versions)
+    this.recordStoreRead(at)
   }
 
   /**
-   * Has news that is newer than an asker's; reads the store for it if need be. Rejects where it
-   * cannot: a box whose own calls fail does not add to them for others, who are in the same outage.
+   * Makes the snapshot newer than a requester's, by a store read if needed.
+   * @throws KvUnavailable if this box may read restored entries, or if its own calls
+   * fail: in an outage, more calls on behalf of others would only add to the load.
    */
-  async refresh(askerAgeMs: number): Promise<void> {
+  async refresh(requesterAgeMs: number): Promise<void> {
     const now = clockNow()
     if (this.options_.settled.isDoubted(now))
-      throw new KvUnavailable("it may read a copy")
-    if (isNewerSnapshot(this.ageMs(now), askerAgeMs)) return
-    if (this.follower_?.isFailing(now)) throw new KvUnavailable("its own calls fail")
-    this.reading_ ??= this.readOnce().finally(() => (this.reading_ = undefined))
-    await this.reading_
+      throw new KvUnavailable("this box may read restored entries")
+    if (isNewerSnapshot(this.ageMs(now), requesterAgeMs)) return
+    if (this.follower_?.isFailing(now))
+      throw new KvUnavailable("this box's own calls fail")
+    this.pendingRead_ ??= this.readOnce().finally(() => (this.pendingRead_ = undefined))
+    await this.pendingRead_
   }
 
   private async readOnce(): Promise<void> {
     const {kv, records} = this.options_
     const prefixes = [records.operatorPrefix, records.backendPrefix]
     const listings = await listForOthers(kv, prefixes)
-    listings.forEach((listing, i) => this.takeListing(prefixes[i] ?? "", listing))
+    listings.forEach((listing, i) => this.applyListing(prefixes[i] ?? "", listing))
   }
 
-  private takeChange(prefix: string, {key, value, revision, era}: KvChange): void {
+  private applyChange(prefix: string, {key, value, revision, era}: KvChange): void {
     if (!this.options_.settled.isChecked) return
     const entry = value === undefined ? undefined : {key, value, revision, era}
     if (prefix !== this.options_.records.backendPrefix) {
-      if (entry) this.operator_.takeEntries([entry])
+      if (entry) this.operatorState_.takeEntries([entry])
       return
     }
-    this.told_.stray()
+    this.leaderBackends_.stray()
     const record = entry && (this.reader_.readBackend(entry) ?? "unreadable")
     const reading: StoreRead = {source: "store", readAt: clockNow()}
     this.options_.post({type: "backend", id: this.reader_.serverOf(key), record, reading})
   }
 
-  /** Takes news of the leader; true when the message was such. */
+  /** Applies a store update of the leader. False for any other message. */
   takeNews(message: FromLeader): boolean {
     switch (message.t) {
       case "config":
-        this.operator_.takeConfig(message.config, "leader")
+        this.operatorState_.takeConfig(message.config, "leader")
         return true
       case "config-named":
-        void this.operator_.readNamed(message.version)
+        void this.operatorState_.readNamed(message.version)
         return true
       case "versions":
-        this.operator_.takeVersions(message.versions)
+        this.operatorState_.takeVersions(message.versions)
         return true
       case "backends":
-        this.takeLeaderBackends(message)
+        this.applyLeaderBackends(message)
         return true
       default:
         return false
     }
   }
 
-  private takeLeaderBackends(message: LeaderBackends): void {
-    if (this.rereads_) return this.told_.stray()
-    this.told_.take(message)
+  private applyLeaderBackends(message: LeaderBackends): void {
+    if (this.mustReread_) return this.leaderBackends_.stray()
+    this.leaderBackends_.take(message)
     const now = clockNow()
     for (const event of toBackendEvents(message, now)) this.options_.post(event)
   }
--- a/src/adapters/operator-news.ts
+++ b/src/adapters/operator-news.ts
@@ -1,4 +1,6 @@
-/** The newest configuration and versions that a box knows, from wherever it learned them. */
+/**
+ * Holds the newest configuration and adapter versions of a box, whatever their source.
+ */
 import type {ServingEvent} from "../core/serving-events.js"
 import type {FleetRecords} from "../ports/fleet-ports.js"
 import type {KvEntry, KvStore} from "../ports/ports.js"
@@ -9,27 +11,27 @@
 import type {Log} from "./log.js"
 import {callAs} from "./store-counter.js"
 
-/** A configuration that was named is read within this time, by each box at another moment. */
-const READ_SCATTER_MS = 250
+/** Spreads the boxes' reads of an announced configuration over this time. */
+const READ_JITTER_MS = 250
 
-/** Who told: the leader has told all other boxes, too. */
-type Teller = "store" | "box" | "leader"
+/** Source of an update. The leader sends its updates to all other boxes, too. */
+type UpdateSource = "store" | "box" | "leader"
 
 export interface OperatorNewsOptions {
   readonly kv: KvStore
   readonly records: FleetRecords
   readonly post: (event: ServingEvent) => void
   readonly log: Log
-  /** What this box learned, for a leader to pass on. */
+  /** Called with each newer configuration or version, for a leader to pass on. */
   readonly learned: (message: FromLeader) => void
-  /** Asks the leader for the configuration that it named. */
+  /** Requests the announced configuration from the leader. */
   readonly askLeader: () => void
 }
 
 export class OperatorNews {
   private config_: FleetConfig | undefined
-  /** The newest configuration that the leader named. */
-  private named_ = -1
+  /** Version of the newest configuration that the leader announced. */
+  private announcedVersion_ = -1
   private readonly versions_ = new Map<string, number>()
 
   constructor(
@@ -41,24 +43,23 @@
     return this.config_
   }
 
-  /** Version of the configuration; -1: none is known. */
+  /** Version of the configuration. -1 if there is none. */
   get configVersion(): number {
     return this.config_?.version ?? -1
   }
 
-  /** Whether a newer configuration than this box has is known to be there. */
+  /** Whether a newer configuration than this box's was announced. */
   get isBehind(): boolean {
-    return this.named_ > this.configVersion
+    return this.announcedVersion_ > this.configVersion
   }
 
-  /** Takes records of the store. */
   takeEntries(entries: readonly KvEntry[]): void {
     const {configs, versions} = this.reader_.readOperators(entries)
     for (const config of configs) this.takeConfig(config, "store")
     this.takeVersions(versions)
   }
 
-  /** Takes and passes on what is newer than what this box knows: lists tell all, again and again. */
+  /** Applies and passes on only newer versions, since each list repeats all of them. */
   takeVersions(versions: readonly AdapterVersion[]): void {
     const newer = versions.filter(
       ([adapter, version]) => version > (this.versions_.get(adapter) ?? -1)
@@ -69,10 +70,10 @@
     this.options_.learned({t: "versions", versions: newer})
   }
 
-  /** Takes a configuration; a version never goes down. */
-  takeConfig(config: FleetConfig, from: Teller): void {
+  /** Applies a configuration unless its version is older or the same. */
+  takeConfig(config: FleetConfig, from: UpdateSource): void {
     if (config.version <= this.configVersion) return
-    // A box of an earlier program leaves out who holds which key.
+    // A box that runs an earlier release leaves out the organisations of the keys.
     if (!Array.isArray(config.organisations)) return void this.readNamed(config.version)
     const {post, learned, log} = this.options_
     this.config_ = config
@@ -81,11 +82,11 @@
     if (from !== "leader") learned({t: "config", config})
   }
 
-  /** Reads a configuration that the leader named; a box that cannot asks the leader for it. */
+  /** Reads an announced configuration, or requests it from the leader if that fails. */
   async readNamed(version: number): Promise<void> {
-    this.named_ = Math.max(this.named_, version)
+    this.announcedVersion_ = Math.max(this.announcedVersion_, version)
     if (version <= this.configVersion) return
-    await pause(Math.random() * READ_SCATTER_MS)
+    await pause(Math.random() * READ_JITTER_MS)
     const {kv, records, log, askLeader} = this.options_
     try {
       const entry = await callAs(kv, {caller: "config-read"}).get(records.configKey)
--- a/src/adapters/settled-era.ts
+++ b/src/adapters/settled-era.ts
@@ -1,7 +1,8 @@
 /**
- * Whether entries of servers are all of the present era of the key-value service. After a return from an
- * older copy they are not for a while, and a box that starts then remembers no server that had left. So a
- * leader writes down which era is settled, and a box that starts reads it.
+ * Whether all entries of servers were written in the current era of the key-value
+ * service. After a restore from an older backup some are out of date for a while, and a
+ * box that starts then cannot tell which servers have left. So a leader stores which
+ * era is settled, and a starting box reads it.
  */
 import {RESTORED_ENTRY_MS, FIRST_ERA} from "../core/eras.js"
 import type {ServingEvent} from "../core/serving-events.js"
@@ -14,7 +15,7 @@
 
 export interface SettledEraOptions {
   readonly kv: KvStore
-  /** Where the settled era stands. */
+  /** Key of the settled era. */
   readonly key: string
   readonly eras: StoreEras
   readonly post: (event: ServingEvent) => void
@@ -22,33 +23,36 @@
 }
 
 export class SettledEra {
-  private check_: Promise<boolean> | undefined
+  private pendingCheck_: Promise<boolean> | undefined
   private checked_ = false
-  /** Until then the entries that this box reads may be the copy's. */
-  private doubtUntil_ = -Infinity
-  /** The era that is settled, as far as this box knows. */
+  /** Until then this box may read restored entries. */
+  private restoredEntriesUntil_ = -Infinity
+  /** The last settled era that this box read or stored. */
   private settled_: number | undefined
   private writing_ = false
 
   constructor(private readonly options_: SettledEraOptions) {}
 
-  /** Whether it is known if this box can trust what it reads. A service that tells no era has no copies. */
+  /**
+   * Whether the settled era was read. A service that reports no era is never restored
+   * from a backup.
+   */
   get isChecked(): boolean {
     return this.checked_ || this.options_.eras.era === undefined
   }
 
-  /** Reads which era is settled; false: the service did not answer. */
+  /** Reads which era is settled. False if the service did not answer. */
   check(): Promise<boolean> {
-    this.check_ ??= this.read().finally(() => (this.check_ = undefined))
-    return this.check_
+    this.pendingCheck_ ??= this.read().finally(() => (this.pendingCheck_ = undefined))
+    return this.pendingCheck_
   }
 
-  /** Whether this box cannot vouch for the servers that it reads of. */
+  /** Whether the servers that this box reads may come from restored entries. */
   isDoubted(now: number): boolean {
-    return now < this.doubtUntil_
+    return now < this.restoredEntriesUntil_
   }
 
-  /** A leader tells that the era is settled, once it is. */
+  /** Stores that the era is settled, once it is. Called by a leader. */
   settleIfDue(now: number): void {
     const {known} = this.options_.eras
     if (!known || !this.checked_ || this.writing_) return
@@ -62,45 +66,46 @@
     const {eras} = this.options_
     if (this.checked_) return true
     try {
-      const entry = await this.as("era-check").get(this.options_.key)
-      // Without the key no leader has settled any era, or the copy is older than the first time that one did.
+      const entry = await this.storeFor("era-check").get(this.options_.key)
+      // Without the key, no leader has settled any era, or the backup is older than the
+      // first time that one did.
       this.settled_ = entry ? Number(entry.value) : undefined
       const isSettled =
         this.settled_ === undefined
           ? (eras.era ?? FIRST_ERA) <= FIRST_ERA
           : this.settled_ === eras.era
-      if (!isSettled) this.doubt()
+      if (!isSettled) this.reportRestoredEntries()
     } catch (cause) {
-      this.noteFailure(cause)
+      this.logFailure(cause)
       return false
     }
     this.checked_ = true
     return true
   }
 
-  private doubt(): void {
+  private reportRestoredEntries(): void {
     const {post, log, eras} = this.options_
-    this.doubtUntil_ = clockNow() + RESTORED_ENTRY_MS
-    post({type: "copied", until: this.doubtUntil_})
+    this.restoredEntriesUntil_ = clockNow() + RESTORED_ENTRY_MS
+    post({type: "copied", until: this.restoredEntriesUntil_})
     log("era-doubted", {era: eras.era ?? -1, settled: this.settled_ ?? -1})
   }
 
   private async settle(era: number): Promise<void> {
     try {
-      await this.as("era-settle").put(this.options_.key, String(era))
+      await this.storeFor("era-settle").put(this.options_.key, String(era))
     } catch (cause) {
-      return this.noteFailure(cause)
+      return this.logFailure(cause)
     }
     this.settled_ = era
     this.options_.log("era-settled", {era})
   }
 
-  private noteFailure(cause: unknown): void {
+  private logFailure(cause: unknown): void {
     const reason = (cause as Error).message
     this.options_.log("kv-trouble", {prefix: this.options_.key, reason})
   }
 
-  private as(caller: StoreCaller): KvStore {
+  private storeFor(caller: StoreCaller): KvStore {
     return callAs(this.options_.kv, {caller})
   }
 }
