--- a/src/adapters/crash-store.ts
+++ b/src/adapters/crash-store.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps in the key-value service which requests crash backend servers, for a leader whose boxes have all been
- * restarted. What is read is merged with what the leader knows, so that an older copy of the service does no harm.
+ * Stores in the key-value service which requests crash backend servers, in case all boxes
+ * restart. A leader merges what it reads with its own records, so that a restore from an
+ * older backup loses none.
  */
 import * as z from "zod"
 import {KvUnavailable, KvUnknown} from "../errors.js"
@@ -11,68 +12,71 @@
 import type {Log} from "./log.js"
 import {callAs} from "./store-counter.js"
 
-/** Changes within this go out in one call, milliseconds; also the pause after a call that failed. */
+/** Changes within this time are saved in one call. Also the pause after a failed call. */
 const SAVE_PAUSE_MS = 300
 
-/** A request is kept from so many crashes on. */
-const LEAST_CRASHES = 2
+/** Requests with fewer crashes aren't stored. */
+const MIN_CRASHES = 2
 
-/** Requests that are kept, those with the most crashes first: some 12 KB. */
-const MAX_KEPT = 100
+/** Limits the stored requests to those with the most crashes, some 12 KB. */
+const MAX_REQUESTS = 100
 
-/** Fingerprint, lives of servers, trials. */
-const stored = z
+/** Fingerprint, crashed server incarnations, trials. */
+const storedCrashes = z
   .array(z.tuple([z.string(), z.array(z.string()), z.number().min(0)]))
-  .max(MAX_KEPT)
+  .max(MAX_REQUESTS)
 
 export interface CrashStoreOptions {
   readonly kv: KvStore
   readonly key: string
-  /** Whether this box leads for sure. */
+  /** Whether this box holds the leader's lease. */
   readonly leads: () => boolean
   readonly list: () => readonly CrashReport[]
-  /** What an earlier leader stored. */
+  /** Called with the records of an earlier leader. */
   readonly learned: (records: readonly CrashReport[]) => void
   readonly log: Log
 }
 
 export class CrashStore {
-  /** Where the value stands that this box read or wrote last; undefined: it has not read it yet. */
-  private place_: Pick<KvEntry, "revision" | "era"> | undefined
-  private saved_ = "[]"
-  private busy_ = false
+  /** Position of the value last read or written. Undefined if it must be read first. */
+  private position_: Pick<KvEntry, "revision" | "era"> | undefined
+  private savedText_ = "[]"
+  private isSaving_ = false
 
   constructor(private readonly options_: CrashStoreOptions) {}
 
-  /** This box leads from now on, or the service came back from an older copy. */
+  /**
+   * Reads the stored value again before the next save. Called when this box starts to
+   * lead, or when the service was restored from an older backup.
+   */
   begin(): void {
-    this.place_ = undefined
+    this.position_ = undefined
     this.saveSoon()
   }
 
-  /** Stores what the box knows, after what was stored is read. */
+  /** Saves this box's records after the stored value is read. */
   saveSoon(): void {
-    if (this.busy_) return
-    this.busy_ = true
-    void this.settle().finally(() => (this.busy_ = false))
+    if (this.isSaving_) return
+    this.isSaving_ = true
+    void this.settle().finally(() => (this.isSaving_ = false))
   }
 
   private async settle(): Promise<void> {
-    while (!(await this.isSettled())) await pause(SAVE_PAUSE_MS)
+    while (!(await this.saveOnce())) await pause(SAVE_PAUSE_MS)
   }
 
-  /** Whether nothing is left to do, or it is no more this box's to do. */
-  private async isSettled(): Promise<boolean> {
+  /** Saves once. Returns whether nothing is left to save or this box no longer leads. */
+  private async saveOnce(): Promise<boolean> {
     if (!this.options_.leads()) return true
     try {
-      if (!this.place_) await this.read()
-      const text = this.write()
-      if (text === this.saved_) return true
+      if (!this.position_) await this.read()
+      const text = this.serialize()
+      if (text === this.savedText_) return true
       await pause(SAVE_PAUSE_MS)
       await this.save()
     } catch (cause) {
       if (!(cause instanceof KvUnavailable || cause instanceof KvUnknown)) throw cause
-      this.place_ = undefined
+      this.position_ = undefined
       const {key, log} = this.options_
       log("kv-trouble", {prefix: key, reason: cause.message})
     }
@@ -81,10 +85,10 @@
 
   private async read(): Promise<void> {
     const {key, learned, log} = this.options_
-    const entry = await this.as("crash-read").get(key)
-    this.place_ = entry ?? {revision: 0}
-    this.saved_ = entry?.value ?? "[]"
-    const {success, data, error} = stored.safeParse(parse(this.saved_))
+    const entry = await this.storeFor("crash-read").get(key)
+    this.position_ = entry ?? {revision: 0}
+    this.savedText_ = entry?.value ?? "[]"
+    const {success, data, error} = storedCrashes.safeParse(parse(this.savedText_))
     if (!success) {
       const revision = entry?.revision ?? 0
       return log("entry-unreadable", {key, revision, reason: error.message})
@@ -96,27 +100,27 @@
   }
 
   private async save(): Promise<void> {
-    if (!this.place_ || !this.options_.leads()) return
-    const text = this.write()
-    const {revision, era} = this.place_
+    if (!this.position_ || !this.options_.leads()) return
+    const text = this.serialize()
+    const {revision, era} = this.position_
     const options = {expectRevision: revision, expectEra: era}
-    const result = await this.as("crash-save").put(this.options_.key, text, options)
-    this.place_ = result.ok ? {revision: result.revision, era: result.era} : undefined
-    if (result.ok) this.saved_ = text
+    const result = await this.storeFor("crash-save").put(this.options_.key, text, options)
+    this.position_ = result.ok ? {revision: result.revision, era: result.era} : undefined
+    if (result.ok) this.savedText_ = text
   }
 
-  private write(): string {
+  private serialize(): string {
     const kept = this.options_
       .list()
-      .filter(({lives}) => lives.length >= LEAST_CRASHES)
+      .filter(({lives}) => lives.length >= MIN_CRASHES)
       .sort((a, b) => b.lives.length - a.lives.length)
-      .slice(0, MAX_KEPT)
+      .slice(0, MAX_REQUESTS)
     return JSON.stringify(
       kept.map(({fingerprint, lives, trials}) => [fingerprint, lives, trials])
     )
   }
 
-  private as(caller: StoreCaller): KvStore {
+  private storeFor(caller: StoreCaller): KvStore {
     return callAs(this.options_.kv, {caller})
   }
 }
--- a/src/adapters/probe.ts
+++ b/src/adapters/probe.ts
@@ -1,9 +1,9 @@
-/** Looks whether an entry is gone. Only evidence counts; silence is not. */
+/** Checks whether an entry process has ended. A missing answer is no proof of that. */
 import {request} from "undici"
 
 const TIMEOUT_MS = 1_000
 
-/** What was found at the address an entry had. */
+/** Probes the last address of an entry for its incarnation. */
 export async function probeEntry(
   address: string | undefined,
   incarnation: string
@@ -17,7 +17,7 @@
     if (answer.statusCode !== 200 || body.incarnation === undefined) return "silent"
     return body.incarnation === incarnation ? "alive" : "gone"
   } catch (cause) {
-    // Nothing listens there: the kernel has closed whatever the process had open.
+    // No process listens there, so the kernel has closed all connections of the entry.
     return (cause as NodeJS.ErrnoException).code === "ECONNREFUSED" ? "gone" : "silent"
   }
 }
--- a/src/adapters/server-probe.ts
+++ b/src/adapters/server-probe.ts
@@ -1,23 +1,25 @@
-/** Looks whether anything listens at a backend server's address. */
+/** Checks whether a process listens at a backend server's address. */
 import {connect} from "node:net"
 import {splitAddress} from "../utils/address.js"
 
-/** A connection that is neither up nor refused after this shows nothing, milliseconds. */
 const TIMEOUT_MS = 400
 
-/** Whether a new connection comes up; false: it is refused, undefined: neither. */
+/**
+ * Whether a connection is accepted. Undefined if it is neither accepted nor refused in
+ * time.
+ */
 export function probeServer(address: string): Promise<boolean | undefined> {
   return new Promise(resolve => {
     const socket = connect(splitAddress(address))
-    const end = (up: boolean | undefined): void => {
+    const finish = (accepted: boolean | undefined): void => {
       clearTimeout(timer)
       socket.destroy()
-      resolve(up)
+      resolve(accepted)
     }
-    const timer = setTimeout(() => end(undefined), TIMEOUT_MS)
-    socket.once("connect", () => end(true))
+    const timer = setTimeout(() => finish(undefined), TIMEOUT_MS)
+    socket.once("connect", () => finish(true))
     socket.on("error", (cause: NodeJS.ErrnoException) =>
-      end(cause.code === "ECONNREFUSED" ? false : undefined)
+      finish(cause.code === "ECONNREFUSED" ? false : undefined)
     )
   })
 }
--- a/src/adapters/store-calls.ts
+++ b/src/adapters/store-calls.ts
@@ -1,4 +1,4 @@
-/** Calls to the key-value service over HTTP: their time limits, and leaving connections that went silent. */
+/** Calls the key-value service over HTTP, with timeouts. Replaces silent connections. */
 import {Pool} from "undici"
 import {LATE_ANSWER_MS} from "../core/snapshot-age.js"
 import {KvUnavailable, KvUnknown} from "../errors.js"
@@ -9,37 +9,37 @@
 export interface StoreCallsOptions {
   /** IP number and port. */
   readonly address: string
-  /** A call without an answer has failed after this, milliseconds. */
+  /** Timeout of a call, added to its `watchMs`. */
   readonly timeoutMs: number
   readonly eras: StoreEras
-  /** The header of answers that tells the era, in lower case. */
+  /** Name of the answer header with the era, in lower case. */
   readonly eraHeader: string
 }
 
 export interface StoreCall {
   readonly method: "GET" | "POST" | "DELETE"
-  /** With the query. */
+  /** Includes the query. */
   readonly path: string
   /** Sent as JSON. */
   readonly body?: object
-  /** The service may wait so long for changes before it answers, milliseconds. */
+  /** How long the service may wait for changes before it answers. */
   readonly watchMs?: number
   readonly signal?: AbortSignal
 }
 
 export interface StoreAnswer {
   readonly status: number
-  /** Read as JSON; an empty object where nothing came. */
+  /** Parsed JSON. An empty object if the answer has no body. */
   readonly body: unknown
-  /** The era that it was answered in; undefined: the service tells none. */
+  /** Era of the answer. Undefined if the service reports none. */
   readonly era: number | undefined
 }
 
-const CONNECT_MS = 600
-const CONNECTIONS = 8
+const CONNECT_TIMEOUT_MS = 600
+const MAX_CONNECTIONS = 8
 
-/** Errors of connections that were never made: the service cannot have heard of the call. */
-const UNHEARD = new Set(["ECONNREFUSED", "UND_ERR_CONNECT_TIMEOUT"])
+/** Errors while connecting. The service cannot have received the call. */
+const CONNECT_ERROR_CODES = new Set(["ECONNREFUSED", "UND_ERR_CONNECT_TIMEOUT"])
 
 export class StoreCalls {
   private pool_: Pool
@@ -48,13 +48,15 @@
     this.pool_ = this.openPool()
   }
 
-  /** @throws KvUnavailable if nothing was done, KvUnknown if the call may have been carried out. */
+  /**
+   * @throws KvUnavailable if the call was not executed, KvUnknown if it may have been.
+   */
   async call({method, path, body, watchMs = 0, signal}: StoreCall): Promise<StoreAnswer> {
     const pool = this.pool_
     const {eras, eraHeader} = this.options_
     const sentAt = clockNow()
     const limit = limitTime(watchMs + this.options_.timeoutMs, signal)
-    const late = setTimeout(() => this.leavePool(pool), watchMs + LATE_ANSWER_MS)
+    const late = setTimeout(() => this.replacePool(pool), watchMs + LATE_ANSWER_MS)
     try {
       const answer = await pool.request({
         method,
@@ -68,7 +70,7 @@
       const era = eras.place(Array.isArray(header) ? header[0] : header, sentAt)
       return {status: answer.statusCode, body: text === "" ? {} : JSON.parse(text), era}
     } catch (cause) {
-      if (limit.isOver()) this.leavePool(pool)
+      if (limit.isOver()) this.replacePool(pool)
       throw toKvError(cause as Error)
     } finally {
       clearTimeout(late)
@@ -78,18 +80,18 @@
 
   private openPool(): Pool {
     return new Pool(`http://${this.options_.address}`, {
-      connections: CONNECTIONS,
+      connections: MAX_CONNECTIONS,
       pipelining: 1,
-      connect: {timeout: CONNECT_MS},
+      connect: {timeout: CONNECT_TIMEOUT_MS},
       keepAliveTimeout: 30_000
     })
   }
 
   /**
-   * Calls from now on go over new connections. One that went silent tells that others may have, too:
-   * each kept one would cost a call its whole time limit. What waits on the old ones goes on.
+   * Uses new connections for later calls. If one connection is silent, others may be too,
+   * and each would cost a call its whole timeout. Calls in progress continue.
    */
-  private leavePool(pool: Pool): void {
+  private replacePool(pool: Pool): void {
     if (this.pool_ !== pool) return
     this.pool_ = this.openPool()
     pool.close().catch(() => undefined)
@@ -98,7 +100,7 @@
 
 function toKvError(cause: Error & {readonly code?: string}): Error {
   if (cause instanceof KvUnknown) return cause
-  return UNHEARD.has(cause.code ?? "")
+  return CONNECT_ERROR_CODES.has(cause.code ?? "")
     ? new KvUnavailable(cause.message)
     : new KvUnknown(`${cause.name}: ${cause.message}`)
 }
--- a/src/adapters/store-counter.ts
+++ b/src/adapters/store-counter.ts
@@ -1,6 +1,6 @@
 /**
- * Counts calls to the key-value service by who makes them, why, and how they end: every call is paid
- * for, and on days with many failures the sum alone does not tell which part of a box to look at.
+ * Counts calls to the key-value service by caller, reason and outcome. Every call is paid
+ * for, and when many fail, the total alone does not show which part of a box causes them.
  */
 import {randomUUID} from "node:crypto"
 import {LATE_ANSWER_MS} from "../core/snapshot-age.js"
@@ -18,8 +18,8 @@
 import type {Log} from "./log.js"
 import type {Metrics} from "./metrics.js"
 
-/** Between two lines of the log, milliseconds: what a process that is killed leaves untold at most. */
-const TELL_MS = 5_000
+/** Interval of log lines. A killed process loses at most the counts of one interval. */
+const LOG_INTERVAL_MS = 5_000
 
 export interface StoreCounterOptions {
   readonly kv: KvStore
@@ -28,38 +28,40 @@
 }
 
 export interface StoreCounter {
-  /** The same service, counted. */
+  /** The same service with its calls counted. */
   readonly kv: KvStore
-  /** Tells what is not told yet, for the end of the process. */
+  /** Logs the calls not logged yet. Called at the end of the process. */
   readonly stop: () => void
 }
 
-/** Counts in metrics, and tells in the log from time to time while calls are made. */
+/** Counts calls in metrics, and logs the counts at intervals while calls are made. */
 export function countStoreCalls(
   {kv, log, metrics}: StoreCounterOptions,
-  everyMs = TELL_MS
+  intervalMs = LOG_INTERVAL_MS
 ): StoreCounter {
   const counts = new StoreCounts(metrics)
-  // Sums since the start, so that a line that is left out under load takes nothing with it.
+  // Totals since the start, so that a log line dropped under load loses no counts.
   const process = randomUUID().slice(0, 8)
-  let told = 0
-  const tell = (): void => {
-    if (counts.total === told) return
-    told = counts.total
-    log("store-calls", {process, total: told, calls: counts.read()})
+  let loggedTotal = 0
+  const logCounts = (): void => {
+    if (counts.total === loggedTotal) return
+    loggedTotal = counts.total
+    log("store-calls", {process, total: loggedTotal, calls: counts.read()})
   }
-  const timer = setInterval(tell, everyMs)
+  const timer = setInterval(logCounts, intervalMs)
   timer.unref()
   return {
     kv: new CountedStore(kv, counts, {}),
     stop: () => {
       clearInterval(timer)
-      tell()
+      logCounts()
     }
   }
 }
 
-/** The service in the name of a part of the box, where calls are counted; else as it is. */
+/**
+ * Returns the service for calls by a part of the box, or `kv` if calls aren't counted.
+ */
 export function callAs(kv: KvStore, purpose: CallPurpose): KvStore {
   return kv.as?.(purpose) ?? kv
 }
@@ -67,15 +69,15 @@
 class StoreCounts {
   total = 0
   private readonly counts_ = new Map<string, number>()
-  /** Callers whose last call that ended failed. */
+  /** Callers whose last finished call failed. */
   private readonly failing_ = new Set<StoreCaller>()
 
   constructor(private readonly metrics_: Metrics) {}
 
-  /** Fills in what a purpose leaves out; to be asked when the call is made. */
-  complete({caller = "other", reason}: CallPurpose): Required<CallPurpose> {
-    const usual = this.failing_.has(caller) ? "after-failure" : "regular"
-    return {caller, reason: reason ?? usual}
+  /** Fills in missing parts of a purpose. Called as the call starts. */
+  completePurpose({caller = "other", reason}: CallPurpose): Required<CallPurpose> {
+    const fallback = this.failing_.has(caller) ? "after-failure" : "regular"
+    return {caller, reason: reason ?? fallback}
   }
 
   add({caller, reason}: Required<CallPurpose>, outcome: StoreOutcome): void {
@@ -92,7 +94,7 @@
   }
 }
 
-/** Counts what ends; a call that is open is in no count yet. */
+/** Counts each call when it ends. */
 class CountedStore implements KvStore {
   constructor(
     private readonly kv_: KvStore,
@@ -120,7 +122,7 @@
     return this.count(() => this.kv_.remove(key))
   }
 
-  /** Counts once, though the service may take it in parts. */
+  /** Counts as one call, although the service may execute it in parts. */
   removeRange(from: string, to: string): Promise<void> {
     return this.count(() => this.kv_.removeRange(from, to))
   }
@@ -137,16 +139,16 @@
     return this.count(() => this.kv_.revokeLease(lease))
   }
 
-  /** It may wait: where its time is not known here, no answer is late. */
+  /** If `waitMs` is not given, no answer counts as late. */
   watch(
     prefix: string,
     after: StorePosition,
-    take: (change: KvChange) => void,
+    onChange: (change: KvChange) => void,
     signal: AbortSignal,
     waitMs?: number
   ): Promise<StorePosition> {
     const call = (): Promise<StorePosition> =>
-      this.kv_.watch(prefix, after, take, signal, waitMs)
+      this.kv_.watch(prefix, after, onChange, signal, waitMs)
     return this.count(call, waitMs ?? Infinity, signal)
   }
 
@@ -155,7 +157,7 @@
     waitMs = 0,
     signal?: AbortSignal
   ): Promise<T> {
-    const purpose = this.counts_.complete(this.purpose_)
+    const purpose = this.counts_.completePurpose(this.purpose_)
     const sentAt = clockNow()
     try {
       const answer = await call()
@@ -163,16 +165,16 @@
       this.counts_.add(purpose, late ? "late" : "ok")
       return answer
     } catch (cause) {
-      this.counts_.add(purpose, judgeFailure(cause, signal))
+      this.counts_.add(purpose, outcomeOfFailure(cause, signal))
       throw cause
     }
   }
 }
 
-function judgeFailure(cause: unknown, signal: AbortSignal | undefined): StoreOutcome {
-  // A limit of time aborts, too: then the service has not answered.
-  const limited = (signal?.reason as Error | undefined)?.name === "TimeoutError"
-  if (signal?.aborted && !limited) return "given-up"
+function outcomeOfFailure(cause: unknown, signal: AbortSignal | undefined): StoreOutcome {
+  // A timeout aborts the signal, too, but then the service failed to answer in time.
+  const timedOut = (signal?.reason as Error | undefined)?.name === "TimeoutError"
+  if (signal?.aborted && !timedOut) return "given-up"
   if (cause instanceof KvRefused) return "refused"
   return cause instanceof KvUnavailable ? "unheard" : "failed"
 }
--- a/src/adapters/usage-store.ts
+++ b/src/adapters/usage-store.ts
@@ -1,4 +1,7 @@
-/** Keeps in the key-value service how much organisations may have used as a leader ends, for the next one. */
+/**
+ * Stores the usage projections of organisations in the key-value service for the next
+ * leader.
+ */
 import * as z from "zod"
 import type {FleetEvent} from "../core/serving-events.js"
 import {KvUnavailable, KvUnknown} from "../errors.js"
@@ -10,70 +13,73 @@
 import type {Log} from "./log.js"
 import {callAs} from "./store-counter.js"
 
-/** After a failure it is tried again so much later, milliseconds. */
 const RETRY_MS = 250
 
-const stored = z.object({
-  /** In which it was written; undefined: the service told none. */
+const storedUsage = z.object({
+  /** Era of the write. Undefined if the service reported none. */
   era: z.number().optional(),
   outlooks: z.record(z.string(), z.array(z.number().nonnegative()))
 })
 
-/** What was read, where an answer came; `outlooks` is undefined where it may be older than what was given. */
+/** An answered read. `outlooks` is undefined if it may lack usage granted since. */
 interface ReadUsage {
   readonly outlooks: UsageProjections | undefined
 }
 
-type Place = Pick<KvEntry, "revision" | "era">
+type Position = Pick<KvEntry, "revision" | "era">
 
-const NOWHERE: Place = {revision: 0}
+const NO_POSITION: Position = {revision: 0}
 
 export interface UsageStoreOptions {
   readonly kv: KvStore
   readonly key: string
   readonly post: (event: FleetEvent) => void
   readonly leading: () => boolean
-  /** The fence while this box leads for sure; undefined: it does not. */
+  /** Returns the fencing token while this box holds the lease. Else undefined. */
   readonly fence: () => number | undefined
   readonly eras: StoreEras
   readonly log: Log
 }
 
 export class UsageStore {
-  /** Where the value stands that this leader read or wrote last. */
-  private place_: Place = NOWHERE
-  private saving_: Promise<void> = Promise.resolve()
+  /** Position of the value that this leader last read or wrote. */
+  private position_: Position = NO_POSITION
+  private pendingSave_: Promise<void> = Promise.resolve()
 
   constructor(private readonly options_: UsageStoreOptions) {}
 
-  /** Reads what earlier leaders left, however often that takes while this box leads. */
+  /** Reads the usage stored by earlier leaders. Retries while this box leads. */
   async read(): Promise<void> {
     const {leading, fence, post} = this.options_
     while (leading()) {
-      const lead = fence()
-      const left = await this.attempt(() => this.readOnce())
-      // Read for an earlier lead of this box it may lack what others gave since.
-      if (left && lead !== undefined && fence() === lead) {
-        return post({type: "usage-read", ...left})
+      const fenceBefore = fence()
+      const usage = await this.attempt(() => this.readOnce())
+      // A read for an earlier leadership of this box may lack usage that other leaders
+      // granted since.
+      if (usage && fenceBefore !== undefined && fence() === fenceBefore) {
+        return post({type: "usage-read", ...usage})
       }
       await pause(RETRY_MS)
     }
   }
 
-  /** Writes in place of what this leader read or wrote last: no later leader's is overwritten. */
+  /**
+   * Replaces the value last read or written. A value of a later leader isn't
+   * overwritten.
+   */
   save(save: number, value: UsageProjections): Promise<void> {
-    this.saving_ = this.saving_.then(() => this.saveNow(save, value))
-    return this.saving_
+    this.pendingSave_ = this.pendingSave_.then(() => this.saveNow(save, value))
+    return this.pendingSave_
   }
 
-  /** What was to be stored is, or has failed, or takes too long. */
+  /** Waits until pending saves have ended, at most `limitMs`. */
   async settle(limitMs: number): Promise<void> {
-    await Promise.race([this.saving_, pause(limitMs)])
+    await Promise.race([this.pendingSave_, pause(limitMs)])
   }
 
   private async saveNow(save: number, value: UsageProjections): Promise<void> {
     const {fence, post} = this.options_
-    const lead = fence()
+    const fenceBefore = fence()
     const {era} = this.options_.eras
     const text = JSON.stringify({era, outlooks: value})
     const ok = await this.attempt(() => this.write(text))
@@ -81,28 +87,28 @@
       await pause(RETRY_MS)
       await this.attempt(() => this.readOnce())
     }
-    post({type: "usage-saved", save, ok: ok === true && fence() === lead})
+    post({type: "usage-saved", save, ok: ok === true && fence() === fenceBefore})
   }
 
   private async readOnce(): Promise<ReadUsage> {
     const {key, eras, log} = this.options_
-    const entry = await this.as("usage-read").get(key)
-    this.place_ = entry ?? NOWHERE
-    // No leader has ever given anything.
+    const entry = await this.storeFor("usage-read").get(key)
+    this.position_ = entry ?? NO_POSITION
+    // No leader has stored any usage yet.
     if (!entry) return {outlooks: {}}
-    const {success, data, error} = stored.safeParse(parse(entry.value))
+    const {success, data, error} = storedUsage.safeParse(parse(entry.value))
     if (success) return {outlooks: data.era === eras.era ? data.outlooks : undefined}
     log("entry-unreadable", {key, revision: entry.revision, reason: error.message})
     return {outlooks: undefined}
   }
 
   private async write(value: string): Promise<boolean> {
-    const {revision, era} = this.place_
-    const result = await this.as("usage-save").put(this.options_.key, value, {
+    const {revision, era} = this.position_
+    const result = await this.storeFor("usage-save").put(this.options_.key, value, {
       expectRevision: revision,
       expectEra: era
     })
-    if (result.ok) this.place_ = {revision: result.revision, era: result.era}
+    if (result.ok) this.position_ = {revision: result.revision, era: result.era}
     return result.ok
   }
 
@@ -117,7 +123,7 @@
     }
   }
 
-  private as(caller: StoreCaller): KvStore {
+  private storeFor(caller: StoreCaller): KvStore {
     return callAs(this.options_.kv, {caller})
   }
 }
--- a/src/adapters/use-counts.ts
+++ b/src/adapters/use-counts.ts
@@ -1,32 +1,32 @@
-/** What a box has yet to tell its leader of requests begun and ended, summed by engine and adapter. */
+/** Unsent usage deltas of a box, summed by engine and adapter. */
 import type {EngineUseDelta} from "../types/box-messages.js"
 
 export class UseCounts {
-  private counts_ = new Map<string, EngineUseDelta>()
+  private deltas_ = new Map<string, EngineUseDelta>()
 
-  /** Adds to the counts; true: they were empty. */
-  add(change: EngineUseDelta): boolean {
-    const {engine, adapter} = change
+  /** Adds a delta. Returns whether there were none before. */
+  add(delta: EngineUseDelta): boolean {
+    const {engine, adapter} = delta
     const key = `${engine} ${adapter ?? ""}`
-    const known = this.counts_.get(key)
-    this.counts_.set(
+    const existing = this.deltas_.get(key)
+    this.deltas_.set(
       key,
-      known
+      existing
         ? {
-            ...known,
-            begun: known.begun + change.begun,
-            ended: known.ended + change.ended,
-            tokens: known.tokens + change.tokens
+            ...existing,
+            begun: existing.begun + delta.begun,
+            ended: existing.ended + delta.ended,
+            tokens: existing.tokens + delta.tokens
           }
-        : change
+        : delta
     )
-    return this.counts_.size === 1 && known === undefined
+    return this.deltas_.size === 1 && existing === undefined
   }
 
-  /** Takes all counts out. */
+  /** Removes and returns all deltas. */
   drain(): EngineUseDelta[] {
-    const all = [...this.counts_.values()]
-    this.counts_ = new Map()
+    const all = [...this.deltas_.values()]
+    this.deltas_ = new Map()
     return all
   }
 }
