--- a/src/adapters/bounded-log.ts
+++ b/src/adapters/bounded-log.ts
@@ -1,28 +1,28 @@
 /**
- * A log that never blocks and whose volume is bounded: lines past the rate are counted, not
- * written, successes first; bytes past what may wait for a slow reader are dropped.
+ * A log that never blocks and whose volume is bounded. Lines over the rate limit are
+ * counted but not written. Warnings and errors have a reserve. Bytes over the buffer
+ * limit for a slow reader are dropped.
  */
 import pino from "pino"
 import {EVENTS, type EventLevel, type EventName} from "../events.js"
 import {clockNow} from "./clock.js"
 import type {Log} from "./log.js"
 
-/** Lines a second, and at once after a quiet time. */
 const LINES_PER_SECOND = 400
 const BURST_LINES = 1_000
 
-/** Of the burst, what is kept for warnings and errors. */
+/** Part of the burst reserved for warnings and errors. */
 const RESERVED_LINES = 200
 
-/** Bytes that may wait for a reader. */
-const MAX_WAITING_BYTES = 2 << 20
-const FLUSH_MS = 200
+/** Limits the buffer for a slow reader. */
+const MAX_BUFFERED_BYTES = 2 << 20
+const FLUSH_INTERVAL_MS = 200
 
 export interface BoundedLog {
   readonly log: Log
-  /** Sets the least level that is written. */
+  /** Sets the lowest level that is written. */
   readonly setLevel: (level: EventLevel) => void
-  /** Writes out what waits; for the end of the process. */
+  /** Writes buffered lines. Called at the end of the process. */
   readonly flush: () => void
 }
 
@@ -36,8 +36,8 @@
   const destination = pino.destination({
     dest: 1,
     sync: false,
-    maxLength: MAX_WAITING_BYTES,
-    periodicFlush: FLUSH_MS
+    maxLength: MAX_BUFFERED_BYTES,
+    periodicFlush: FLUSH_INTERVAL_MS
   })
   const logger = pino({name, level, base: {name, ...base}}, destination)
   const limit = createLineLimit(now)
@@ -48,8 +48,8 @@
   const log: Log = (event, fields = {}) => {
     const severity = EVENTS[event].level
     if (!limit.takes(severity === "warn" || severity === "error")) return
-    const left = limit.takeLeftOut()
-    if (left > 0) write("log-limited", {lines: left})
+    const omitted = limit.takeLeftOut()
+    if (omitted > 0) write("log-limited", {lines: omitted})
     write(event, fields)
   }
   return {
@@ -64,31 +64,34 @@
 export interface LineLimit {
   /** Whether a line may be written now. */
   readonly takes: (urgent: boolean) => boolean
-  /** Lines left out since this was last asked, once one may be written again. */
+  /** Returns and resets the number of omitted lines. */
   readonly takeLeftOut: () => number
 }
 
-/** The limit of lines a second; the last of the burst is kept for urgent ones. */
+/** Creates a token bucket of log lines with a reserve for urgent ones. */
 export function createLineLimit(now: () => number): LineLimit {
-  let room = BURST_LINES
-  let countedAt = now()
-  let leftOut = 0
+  let available = BURST_LINES
+  let refilledAt = now()
+  let omittedLines = 0
   return {
     takes(urgent) {
       const at = now()
-      room = Math.min(BURST_LINES, room + ((at - countedAt) / 1000) * LINES_PER_SECOND)
-      countedAt = at
-      if (room < (urgent ? 1 : RESERVED_LINES)) {
-        leftOut++
+      available = Math.min(
+        BURST_LINES,
+        available + ((at - refilledAt) / 1000) * LINES_PER_SECOND
+      )
+      refilledAt = at
+      if (available < (urgent ? 1 : RESERVED_LINES)) {
+        omittedLines++
         return false
       }
-      room--
+      available--
       return true
     },
     takeLeftOut() {
-      const left = leftOut
-      leftOut = 0
-      return left
+      const omitted = omittedLines
+      omittedLines = 0
+      return omitted
     }
   }
 }
--- a/src/adapters/clock.ts
+++ b/src/adapters/clock.ts
@@ -1,49 +1,56 @@
 /**
- * The clock of a process. A machine may be suspended: the steady clock of the system does not count that time,
- * the time of day does, and it may be set besides. What is held by its age must not look newer than it is, so
- * that each step forward of the time of day counts as a suspension. Backward steps are left out.
+ * The clock of a process. The system's monotonic clock doesn't count the time while a
+ * machine is suspended. The time of day does, but it may also be set. Nothing may look
+ * newer than it is, so each forward step of the time of day counts as a suspension.
+ * Backward steps are ignored.
  */
 
-/** A step of the time of day by less is none, milliseconds: it is read a little after the steady clock. */
-const LEAST_STEP_MS = 50
+/** Smaller steps are ignored, since the two clocks aren't read at the same moment. */
+const MIN_STEP_MS = 50
 
-/** A step must show in so many readings: the process may have been held up between the two clocks in one. */
-const READINGS = 3
+/**
+ * Readings that must show a step, since a process pause between the clocks distorts
+ * one.
+ */
+const STEP_READINGS = 3
 
-/** Where the times come from, milliseconds. */
+/** The clocks of the system (ms). */
 export interface ClockSources {
-  /** Never steps, and may stand while the machine is suspended. */
+  /** Monotonic clock. It may stop while the machine is suspended. */
   readonly steady: () => number
   readonly timeOfDay: () => number
 }
 
 export class ProcessClock {
   private suspendedMs_ = 0
-  /** The time of day less the steady one, at the last look. */
+  /** Time of day minus monotonic time at the last reading. */
   private offset_: number
 
   constructor(private readonly sources_: ClockSources) {
     this.offset_ = this.readOffset()
   }
 
-  /** Milliseconds that have passed, suspensions included. */
+  /** Returns the monotonic time, suspensions included (ms). */
   readonly now = (): number => {
-    this.look()
+    this.detectStep()
     return this.sources_.steady() + this.suspendedMs_
   }
 
-  /** How much of that the steady clock did not count: suspensions, and steps of the time of day. */
+  /**
+   * Returns the time that the monotonic clock didn't count: suspensions and forward
+   * steps.
+   */
   readonly suspendedMs = (): number => this.suspendedMs_
 
-  private look(): void {
+  private detectStep(): void {
     let step = Infinity
     let offset = this.offset_
-    for (let i = 0; i < READINGS && step >= LEAST_STEP_MS; i++) {
+    for (let i = 0; i < STEP_READINGS && step >= MIN_STEP_MS; i++) {
       offset = this.readOffset()
       step = Math.min(step, offset - this.offset_)
     }
     this.offset_ = offset
-    if (step >= LEAST_STEP_MS) this.suspendedMs_ += step
+    if (step >= MIN_STEP_MS) this.suspendedMs_ += step
   }
 
   private readOffset(): number {
@@ -58,8 +65,8 @@
   timeOfDay: () => Date.now()
 })
 
-/** The time of this process, milliseconds. */
+/** Returns the time of this process (ms). */
 export const clockNow = clock.now
 
-/** How much of it the steady clock did not count, milliseconds. */
+/** Returns the part of `clockNow` that the monotonic clock didn't count. */
 export const clockSuspendedMs = clock.suspendedMs
--- a/src/adapters/event-stream.ts
+++ b/src/adapters/event-stream.ts
@@ -1,12 +1,12 @@
-/** What the relay needs to know of server-sent events: their ends, ids, and the model they name. */
+/** Parses server-sent events for the relay: their ends, ids and models. */
 
 export const EVENT_END = "\n\n"
 /** The line that ends a stream of completions. */
 export const DONE_MARK = "data: [DONE]"
-/** In place of a model, for the event that ends a stream. */
+/** Returned in place of a model for the event that ends a stream. */
 export const DONE = "[DONE]"
 
-/** The model the first event of a stream names; undefined while it is not whole. */
+/** Returns the model of the first event of a stream. Undefined while it is incomplete. */
 export function readFirstModel(text: string): string | undefined {
   const end = text.indexOf("\n\n")
   if (end < 0) return undefined
@@ -18,12 +18,12 @@
   return line === undefined ? "" : (readModel(line.slice("data: ".length)) ?? "")
 }
 
-/** The last event id in whole events; undefined when they carry none. */
+/** Returns the last id in complete events. Undefined if they have none. */
 export function readLastId(events: Buffer): string | undefined {
   return [...events.toString().matchAll(/^id: ?(.*)$/gm)].pop()?.[1]
 }
 
-/** Whole events in a chunk. */
+/** Returns the number of complete events in a chunk. */
 export function countEvents(events: Buffer): number {
   let count = 0
   for (let at = events.indexOf(EVENT_END); at >= 0; at = events.indexOf(EVENT_END, at)) {
@@ -33,7 +33,7 @@
   return count
 }
 
-/** The model a JSON document names. */
+/** Returns the model of a JSON document. Undefined if it has none. */
 export function readModel(json: string): string | undefined {
   try {
     const {model} = JSON.parse(json) as {model?: unknown}
--- a/src/adapters/exchange.ts
+++ b/src/adapters/exchange.ts
@@ -1,36 +1,36 @@
-/** One caller's request at an entry: its body, its answer, and the attempt that is under way. */
+/** A caller's request at an entry: its body, its answer and the current attempt. */
 import type {ServerResponse} from "node:http"
 import type {Dispatcher} from "undici"
 import type {Arrival} from "../core/entry-state.js"
 import {type ErrorCode, retryAfterHeader, SedgeError, toProblem} from "../errors.js"
 
-/** How the answer of the backend server is to be passed on. */
+/** How to forward the backend server's answer. */
 export type AnswerMode = "stream" | "whole" | "service"
 
 export interface Exchange {
   readonly arrival: Arrival
   readonly mode: AnswerMode
   readonly method: string
-  /** The path at the backend server. */
+  /** Path at the backend server. */
   readonly path: string
   readonly headers: Readonly<Record<string, string>>
   readonly body: Buffer
   readonly res: ServerResponse
   readonly receivedAt: number
-  /** The attempt's connection; aborting it destroys the connection. */
+  /** Controller of the attempt. Aborting it destroys the connection. */
   controller?: Dispatcher.DispatchController
-  /** Any byte of an answer went to the caller. */
+  /** Whether any byte of an answer was sent to the caller. */
   replied: boolean
-  /** The present attempt or resume brought events, or was merely silent. */
+  /** Whether the current attempt or resume received events, or only timed out as idle. */
   progressed: boolean
-  /** The id of the last event of a stream that went to the caller whole. */
+  /** Id of the last complete event sent to the caller. */
   lastEventId: string
-  /** When the last event of a stream went to the caller. */
+  /** When the last event of a stream was sent to the caller. */
   lastEventAt: number
   timedOut: boolean
 }
 
-/** Answers with an error, as a problem document, at once. */
+/** Answers with an error as a problem document. */
 export function sendProblem(res: ServerResponse, error: SedgeError): void {
   if (res.headersSent || res.destroyed) return
   const problem = toProblem(error)
@@ -43,7 +43,7 @@
   res.end(body)
 }
 
-/** Ends a stream that was cut with an explicit error, and never as if it were whole. */
+/** Ends an interrupted stream with an error event, so that it doesn't look complete. */
 export function sendStreamError(res: ServerResponse, code: ErrorCode): void {
   const problem = toProblem(new SedgeError(code))
   res.write(`event: error\ndata: ${JSON.stringify({error: problem})}\n\n`, () =>
--- a/src/adapters/log.ts
+++ b/src/adapters/log.ts
@@ -1,10 +1,10 @@
-/** Structured logs: pino, every line a numbered event of the catalogue. */
+/** Structured logs by pino. Each line is a numbered event of `EVENTS`. */
 import {pino} from "pino"
 import {EVENTS, type EventLevel, type EventName} from "../events.js"
 
 export type Log = (event: EventName, fields?: Readonly<Record<string, unknown>>) => void
 
-/** A log to standard output. */
+/** Creates a log to standard output. */
 export function createLog(name: string, level: EventLevel, base: object): Log {
   const logger = pino({name, level, base: {name, ...base}})
   return (event, fields = {}) => {
--- a/src/adapters/relay-exchange.ts
+++ b/src/adapters/relay-exchange.ts
@@ -1,8 +1,7 @@
-/** One request of a caller on its way: body in, attempts to backend servers, answer out. */
+/** A caller's request: its body, its attempts at backend servers and its answer. */
 import type {IncomingMessage, ServerResponse} from "node:http"
 import type {RequestFacts} from "../ports/fleet-ports.js"
 
-/** How a backend server's answer reaches the caller. */
 export interface AnswerHead {
   readonly status: number
   readonly headers: readonly string[]
@@ -22,15 +21,14 @@
 
 const EVENT_END = Buffer.from("\n\n")
 
-/** A caller's request, and what has gone back. */
 export class RelayExchange {
-  /** The attempt whose answer counts. */
+  /** Number of the attempt whose answer counts. */
   attempt = 0
   abort: (() => void) | undefined
   private head_: AnswerHead | undefined
-  private passed_ = false
-  private parts_: Buffer[] = []
-  private rest_: Buffer = Buffer.alloc(0)
+  private isHeadSent_ = false
+  private bodyParts_: Buffer[] = []
+  private partialEvent_: Buffer = Buffer.alloc(0)
   lastEventId: string | undefined
 
   constructor(
@@ -44,20 +42,20 @@
     this.lastEventId = facts.lastEventId
   }
 
-  /** A new attempt: what came of the last one in part is dropped. */
+  /** Starts an attempt. Drops the partial answer of the last one. */
   begin(attempt: number): void {
     this.attempt = attempt
     this.abort = undefined
     this.head_ = undefined
-    this.parts_ = []
-    this.rest_ = Buffer.alloc(0)
+    this.bodyParts_ = []
+    this.partialEvent_ = Buffer.alloc(0)
   }
 
-  /** The answer of the attempt is the caller's from here on; a resumed stream keeps its head. */
+  /** Sends the head of a stream to the caller, unless an earlier attempt did. */
   pass(closing: boolean): void {
     const head = this.head_
-    if (!head || !this.streaming || this.passed_) return
-    this.passed_ = true
+    if (!head || !this.streaming || this.isHeadSent_) return
+    this.isHeadSent_ = true
     const headers = [...head.headers]
     if (closing) headers.push("connection", "close")
     this.res.writeHead(head.status, headers)
@@ -68,45 +66,46 @@
     this.head_ = {status, headers: stripHop(headers)}
   }
 
-  /** Whether a stream's events go out as they come. */
+  /** Whether events are sent to the caller as they arrive. */
   get isStreamed(): boolean {
     return this.streaming && this.head_?.status === 200
   }
 
-  /** Takes bytes of the answer; whole events go out at once, a torn one is held back. */
+  /** Buffers or sends bytes of the answer. Of a stream, only complete events are sent. */
   take(chunk: Buffer): void {
-    if (!this.passed_) {
-      this.parts_.push(chunk)
+    if (!this.isHeadSent_) {
+      this.bodyParts_.push(chunk)
       return
     }
-    const bytes = this.rest_.length === 0 ? chunk : Buffer.concat([this.rest_, chunk])
+    const bytes =
+      this.partialEvent_.length === 0 ? chunk : Buffer.concat([this.partialEvent_, chunk])
     const end = bytes.lastIndexOf(EVENT_END)
     if (end < 0) {
-      this.rest_ = bytes
+      this.partialEvent_ = bytes
       return
     }
-    const whole = bytes.subarray(0, end + EVENT_END.length)
-    this.rest_ = bytes.subarray(end + EVENT_END.length)
-    this.noteEvents(whole)
-    this.res.write(whole)
+    const events = bytes.subarray(0, end + EVENT_END.length)
+    this.partialEvent_ = bytes.subarray(end + EVENT_END.length)
+    this.recordEventId(events)
+    this.res.write(events)
   }
 
-  /** Ends the caller's answer as whole. */
+  /** Completes the answer to the caller. */
   complete(closing: boolean): void {
-    if (this.passed_) {
-      this.res.end(this.rest_)
+    if (this.isHeadSent_) {
+      this.res.end(this.partialEvent_)
       return
     }
     const head = this.head_
     if (!head) return
-    const body = Buffer.concat(this.parts_)
+    const body = Buffer.concat(this.bodyParts_)
     const headers = [...head.headers, "content-length", String(body.length)]
     if (closing) headers.push("connection", "close")
     this.res.writeHead(head.status, headers)
     this.res.end(body)
   }
 
-  /** Answers with the box's own word. */
+  /** Answers with an error of the box. Cuts the connection if an answer has begun. */
   refuse(status: number, body: object, headers: Readonly<Record<string, string>>): void {
     if (this.res.headersSent) return this.cut()
     const text = JSON.stringify(body)
@@ -118,27 +117,27 @@
     this.res.end(text)
   }
 
-  /** Cuts the caller's connection, so that a part does not look whole. */
+  /** Closes the caller's connection, so that a partial answer doesn't look complete. */
   cut(): void {
     this.req.socket.destroy()
   }
 
-  private noteEvents(whole: Buffer): void {
-    const text = whole.toString("latin1")
+  private recordEventId(events: Buffer): void {
+    const text = events.toString("latin1")
     const at = text.lastIndexOf("id:")
-    if (at < 0 || (at > 0 && text[at - 1] !== "\n")) return this.noteSlowly(text)
+    if (at < 0 || (at > 0 && text[at - 1] !== "\n")) return this.recordEventIdByLine(text)
     this.lastEventId = text.slice(at + 3, text.indexOf("\n", at)).trim()
   }
 
-  /** The same where `id:` also stands within data. */
-  private noteSlowly(text: string): void {
+  /** Records the last event id if `id:` also occurs within data. */
+  private recordEventIdByLine(text: string): void {
     for (const line of text.split("\n")) {
       if (line.startsWith("id:")) this.lastEventId = line.slice(3).trim()
     }
   }
 }
 
-/** Flat headers without those of one connection. */
+/** Returns flat headers without hop-by-hop headers. */
 export function stripHop(headers: readonly string[]): string[] {
   const kept: string[] = []
   for (let i = 0; i + 1 < headers.length; i += 2) {
@@ -149,14 +148,20 @@
   return kept
 }
 
-/** Flat headers as a map of lower-case names; values of one name that differ are joined by commas. */
+/**
+ * Returns flat headers by lower-case name. Different values of a name are joined by
+ * commas.
+ */
 export function mapHeaders(headers: readonly string[]): ReadonlyMap<string, string> {
   const map = new Map<string, string>()
   for (let i = 0; i + 1 < headers.length; i += 2) {
     const name = (headers[i] as string).toLowerCase()
     const value = headers[i + 1] as string
-    const known = map.get(name)
-    map.set(name, known === undefined || known === value ? value : `${known}, ${value}`)
+    const earlier = map.get(name)
+    map.set(
+      name,
+      earlier === undefined || earlier === value ? value : `${earlier}, ${value}`
+    )
   }
   return map
 }
--- a/src/adapters/relay-handler.ts
+++ b/src/adapters/relay-handler.ts
@@ -1,4 +1,6 @@
-/** Passes the answer of a backend server to the caller as it comes, checking who answered. */
+/**
+ * Forwards a backend server's answer to the caller after checking which model answered.
+ */
 import type {IncomingHttpHeaders} from "node:http"
 import type {Histogram} from "hdr-histogram-js"
 import {type Dispatcher, errors} from "undici"
@@ -15,39 +17,39 @@
 } from "./event-stream.js"
 import type {Exchange} from "./exchange.js"
 
-/** Milliseconds. */
+/** Histograms of times (ms). */
 export interface RelayMeasures {
   readonly firstToken: Histogram
   readonly betweenTokens: Histogram
 }
 
-/** Told once how an attempt or a resume ended. */
+/** Called once with the result of an attempt or a resume. */
 export type RelayEnd = (result: BackendResult) => void
 
-/** The most of an answer that is held back until its adapter is checked. */
-const MAX_WHOLE_BYTES = 32 << 20
+/** Limits the part of an answer buffered until its model is checked. */
+const MAX_BUFFERED_BYTES = 32 << 20
 const EMPTY = Buffer.alloc(0)
 const TAIL_BYTES = 64
 
-/** Headers of a backend server's answer that are passed on. */
-const PASSED_HEADERS = ["content-type", "retry-after", "cache-control"]
+/** Answer headers forwarded to the caller. */
+const FORWARDED_HEADERS = ["content-type", "retry-after", "cache-control"]
 
 function isIdleTimeout(error: Error): boolean {
   return error instanceof errors.BodyTimeoutError
 }
 
-/** The answer of one attempt as it comes. */
+/** Handles the answer of an attempt or a resume. */
 export class RelayHandler implements Dispatcher.DispatchHandler {
-  private sent_ = false
-  private over_ = false
-  private checked_ = false
+  private isSent_ = false
+  private isFinished_ = false
+  private isForwarding_ = false
   private status_ = 0
   private headers_: IncomingHttpHeaders = {}
-  private held_: Buffer[] = []
-  private heldBytes_ = 0
-  /** The bytes of an event that is not whole yet: a caller never gets half of one. */
-  private rest_: Buffer = EMPTY
-  private lastWhole_: Buffer = EMPTY
+  private bufferedChunks_: Buffer[] = []
+  private bufferedBytes_ = 0
+  /** Bytes of an incomplete event, which aren't sent to the caller yet. */
+  private partialEvent_: Buffer = EMPTY
+  private lastEvents_: Buffer = EMPTY
 
   constructor(
     private readonly exchange_: Exchange,
@@ -57,9 +59,10 @@
   ) {}
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
-    this.sent_ = true
+    this.isSent_ = true
     this.exchange_.controller = controller
-    if (this.exchange_.res.destroyed) controller.abort(new Error("the caller hung up"))
+    if (this.exchange_.res.destroyed)
+      controller.abort(new Error("the caller disconnected"))
   }
 
   onResponseStart(
@@ -72,24 +75,25 @@
   }
 
   onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
-    if (this.over_) return
-    if (this.checked_) return this.pass(controller, chunk)
-    this.held_.push(chunk)
-    this.heldBytes_ += chunk.length
-    if (this.heldBytes_ > MAX_WHOLE_BYTES) return this.giveUp(controller, "lost")
-    if (this.passesUnchecked()) return this.open(controller)
+    if (this.isFinished_) return
+    if (this.isForwarding_) return this.forward(controller, chunk)
+    this.bufferedChunks_.push(chunk)
+    this.bufferedBytes_ += chunk.length
+    if (this.bufferedBytes_ > MAX_BUFFERED_BYTES) return this.abort(controller, "lost")
+    if (this.needsNoModelCheck()) return this.startForwarding(controller)
     if (this.exchange_.mode !== "stream" || this.status_ !== 200) return
-    const model = readFirstModel(Buffer.concat(this.held_).toString())
+    const model = readFirstModel(Buffer.concat(this.bufferedChunks_).toString())
     if (model === undefined) return
     const isEnd = model === DONE && this.exchange_.replied
     if (model !== this.wantedModel() && !isEnd)
-      return this.giveUp(controller, "wrong-model")
-    this.open(controller)
+      return this.abort(controller, "wrong-model")
+    this.startForwarding(controller)
   }
 
   onResponseEnd(): void {
-    if (this.over_) return
-    if (this.isResume_ && this.status_ !== 200) return this.finish(this.refusedResume())
+    if (this.isFinished_) return
+    if (this.isResume_ && this.status_ !== 200)
+      return this.finish(this.resultOfRejectedResume())
     const refusal = this.readRefusal()
     if (refusal) return this.finish(refusal)
     if (this.exchange_.mode === "service" || this.status_ >= 400) return this.endPlain()
@@ -98,29 +102,29 @@
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
-    if (this.over_) return
-    if (!this.sent_) return this.finish("not-sent")
+    if (this.isFinished_) return
+    if (!this.isSent_) return this.finish("not-sent")
     if (this.exchange_.timedOut) return this.finish("timeout")
-    // A silent stream may only be slow: to ask for it again is no sign of loss.
+    // A silent stream may only be slow, so a resume after it doesn't count as a failure.
     if (isIdleTimeout(error)) this.exchange_.progressed = true
     this.finish(this.exchange_.res.destroyed ? "abandoned" : this.lostOrGone())
   }
 
-  /** The engine's own trouble may pass; otherwise it has no such stream, or gives none. */
-  private refusedResume(): BackendResult {
+  /** A server error may be temporary. Any other error shows that the stream is gone. */
+  private resultOfRejectedResume(): BackendResult {
     return this.status_ >= 500 ? "lost" : "gone"
   }
 
-  /** A stream of which events without ids went out cannot be resumed. */
+  /** A stream can't be resumed if the events sent to the caller had no ids. */
   private lostOrGone(): BackendResult {
     const {replied, lastEventId} = this.exchange_
-    const id = readLastId(this.lastWhole_) ?? lastEventId
+    const id = readLastId(this.lastEvents_) ?? lastEventId
     this.exchange_.lastEventId = id
     return replied && id === "" ? "gone" : "lost"
   }
 
-  /** Plain services name no adapter: their answers go through as they come. */
-  private passesUnchecked(): boolean {
+  /** Plain services report no model, so their answers are forwarded as they arrive. */
+  private needsNoModelCheck(): boolean {
     return this.exchange_.mode === "service" && this.status_ < 400
   }
 
@@ -129,7 +133,7 @@
     return target.kind === "model" ? target.model : ""
   }
 
-  /** Refusals that say the request did not run. */
+  /** Returns the result if the answer shows that the request did not run. */
   private readRefusal(): BackendResult | undefined {
     const reason = this.headers_["x-not-run"]
     if (reason === "not-loaded" || reason === "stale-grant") return reason
@@ -138,38 +142,39 @@
     return isModel && this.status_ === 404 ? "not-loaded" : undefined
   }
 
-  private open(controller: Dispatcher.DispatchController): void {
-    this.checked_ = true
+  private startForwarding(controller: Dispatcher.DispatchController): void {
+    this.isForwarding_ = true
     const {res, receivedAt, replied} = this.exchange_
     if (!replied) {
       this.exchange_.replied = true
-      res.writeHead(this.status_, this.passedHeaders())
+      res.writeHead(this.status_, this.forwardedHeaders())
       const now = clockNow()
       this.measures_.firstToken.recordValue(Math.round(now - receivedAt))
       this.exchange_.lastEventAt = now
     }
-    const held = Buffer.concat(this.held_)
-    this.held_ = []
-    this.pass(controller, held)
+    const buffered = Buffer.concat(this.bufferedChunks_)
+    this.bufferedChunks_ = []
+    this.forward(controller, buffered)
   }
 
-  private pass(controller: Dispatcher.DispatchController, chunk: Buffer): void {
+  private forward(controller: Dispatcher.DispatchController, chunk: Buffer): void {
     if (this.exchange_.mode !== "stream") return this.write(controller, chunk)
-    const data = this.rest_.length > 0 ? Buffer.concat([this.rest_, chunk]) : chunk
+    const data =
+      this.partialEvent_.length > 0 ? Buffer.concat([this.partialEvent_, chunk]) : chunk
     const end = data.lastIndexOf(EVENT_END) + EVENT_END.length
     if (end < EVENT_END.length) {
-      this.rest_ = data
+      this.partialEvent_ = data
       return
     }
-    this.rest_ = data.subarray(end)
-    this.lastWhole_ = data.subarray(0, end)
+    this.partialEvent_ = data.subarray(end)
+    this.lastEvents_ = data.subarray(0, end)
     this.exchange_.progressed = true
-    this.measure(this.lastWhole_)
-    this.write(controller, this.lastWhole_)
+    this.recordGaps(this.lastEvents_)
+    this.write(controller, this.lastEvents_)
   }
 
-  /** Events that come together are no time apart. */
-  private measure(events: Buffer): void {
+  /** Records the times between events. Events of one chunk count as 0 ms apart. */
+  private recordGaps(events: Buffer): void {
     const now = clockNow()
     const gapMs = Math.round(now - this.exchange_.lastEventAt)
     this.exchange_.lastEventAt = now
@@ -188,54 +193,57 @@
   private endPlain(): void {
     const {res} = this.exchange_
     if (this.status_ >= 500) return this.finish("lost")
-    if (!this.checked_) {
+    if (!this.isForwarding_) {
       this.exchange_.replied = true
-      res.writeHead(this.status_, this.passedHeaders())
-      res.write(Buffer.concat(this.held_))
+      res.writeHead(this.status_, this.forwardedHeaders())
+      res.write(Buffer.concat(this.bufferedChunks_))
     }
     res.end()
     this.finish(this.status_ < 400 ? "ok" : "answered-error")
   }
 
   private endStream(): void {
-    const end = Buffer.concat([this.lastWhole_.subarray(-TAIL_BYTES), this.rest_])
-    if (!this.checked_ || !end.includes(DONE_MARK)) {
+    const end = Buffer.concat([
+      this.lastEvents_.subarray(-TAIL_BYTES),
+      this.partialEvent_
+    ])
+    if (!this.isForwarding_ || !end.includes(DONE_MARK)) {
       return this.finish(this.lostOrGone())
     }
-    if (this.rest_.length > 0) this.exchange_.res.write(this.rest_)
+    if (this.partialEvent_.length > 0) this.exchange_.res.write(this.partialEvent_)
     this.exchange_.res.end()
     this.finish("ok")
   }
 
   private endWhole(): void {
-    const body = Buffer.concat(this.held_)
+    const body = Buffer.concat(this.bufferedChunks_)
     const model = readModel(body.toString())
     if (model === undefined) return this.finish("lost")
     if (model !== this.wantedModel()) return this.finish("wrong-model")
     const {res, receivedAt} = this.exchange_
     this.exchange_.replied = true
     this.measures_.firstToken.recordValue(Math.round(clockNow() - receivedAt))
-    res.writeHead(200, {...this.passedHeaders(), "content-length": body.length})
+    res.writeHead(200, {...this.forwardedHeaders(), "content-length": body.length})
     res.end(body)
     this.finish("ok")
   }
 
-  private passedHeaders(): Record<string, string> {
-    const passed: Record<string, string> = {}
-    for (const name of PASSED_HEADERS) {
+  private forwardedHeaders(): Record<string, string> {
+    const forwarded: Record<string, string> = {}
+    for (const name of FORWARDED_HEADERS) {
       const value = this.headers_[name]
-      if (typeof value === "string") passed[name] = value
+      if (typeof value === "string") forwarded[name] = value
     }
-    return passed
+    return forwarded
   }
 
-  private giveUp(controller: Dispatcher.DispatchController, result: BackendResult): void {
+  private abort(controller: Dispatcher.DispatchController, result: BackendResult): void {
     this.finish(result)
     controller.abort(new Error(result))
   }
 
   private finish(result: BackendResult): void {
-    this.over_ = true
+    this.isFinished_ = true
     this.exchange_.controller = undefined
     this.end_(result)
   }
--- a/src/adapters/relay.ts
+++ b/src/adapters/relay.ts
@@ -1,4 +1,4 @@
-/** Passes requests to backend servers, and takes broken streams up again. */
+/** Forwards requests to backend servers and resumes broken streams. */
 import {Agent, type Dispatcher} from "undici"
 import type {BackendResult} from "../core/entry-state.js"
 import type {Exchange} from "./exchange.js"
@@ -10,14 +10,14 @@
   readonly fence: number
   readonly grant: number
   readonly entry: string
-  /** A silent stream counts as lost after this, milliseconds; 0: never. */
+  /** A silent stream counts as lost after this time. 0 means never. */
   readonly idleMs: number
 }
 
 const CONNECT_TIMEOUT_MS = 2_000
 const KEEP_ALIVE_MS = 4_000
 const RESUME_HEADERS_TIMEOUT_MS = 2_000
-/** What an attempt may end in without having run. */
+/** Results of attempts that did not run. */
 const NOT_RUN_RESULTS: ReadonlySet<BackendResult> = new Set([
   "not-sent",
   "not-loaded",
@@ -33,7 +33,9 @@
     bodyTimeout: 0,
     maxResponseSize: -1
   })
-  /** One connection a request: a reused one may break in a way that leaves the outcome open. */
+  /**
+   * One connection per request. A reused one may break so that the outcome is unknown.
+   */
   private readonly freshAgent_ = new Agent({
     connect: {timeout: CONNECT_TIMEOUT_MS},
     pipelining: 0,
@@ -41,7 +43,7 @@
     bodyTimeout: 0
   })
 
-  /** Starts an attempt; `end` is called once. */
+  /** Starts an attempt. Calls `end` once. */
   send(
     exchange: Exchange,
     target: RelayTarget,
@@ -68,7 +70,7 @@
     )
   }
 
-  /** Takes a broken stream up again after the last whole event; `end` is called once. */
+  /** Resumes a broken stream after the last complete event. Calls `end` once. */
   resume(
     exchange: Exchange,
     target: Pick<RelayTarget, "address" | "attempt" | "idleMs">,
@@ -84,7 +86,7 @@
         headersTimeout: RESUME_HEADERS_TIMEOUT_MS,
         bodyTimeout: target.idleMs
       },
-      new RelayHandler(exchange, measures, result => end(afterResume(result)), true)
+      new RelayHandler(exchange, measures, result => end(resultOfResume(result)), true)
     )
   }
 
@@ -94,7 +96,7 @@
   }
 }
 
-/** A resume runs nothing, so that it failed says nothing of whether the request ran. */
-function afterResume(result: BackendResult): BackendResult {
+/** Maps the result of a resume, whose failure doesn't show whether the request ran. */
+function resultOfResume(result: BackendResult): BackendResult {
   return NOT_RUN_RESULTS.has(result) ? "lost" : result
 }
