--- a/test/news-source.test.ts
+++ b/test/news-source.test.ts
@@ -310,7 +310,7 @@
     return Promise.resolve({entries, revision: 1, more: false})
   }
   const readBackend: FleetRecords["readBackend"] = ({key}) => {
-    const found = servers().find(({server}) => RECORDS.backendPrefix + server === key)
+    const found = servers().find(record => RECORDS.backendPrefix + record.server === key)
     return found ?? RECORDS.readBackend({key, value: "", revision: 0})
   }
   const records = {...RECORDS, readBackend}
