--- a/src/adapters/box-hub.ts
+++ b/src/adapters/box-hub.ts
@@ -49,7 +49,7 @@
   readonly address: string
   readonly state: () => RoutedState
   readonly post: (event: RoutedEvent) => void
-  readonly news: NewsSource
+  readonly snapshotSource: NewsSource
   /** Processor capacity of this box, in cores. */
   readonly capacity: number
   readonly leadership: Leadership
@@ -58,7 +58,7 @@
   /** The leader that this box follows, or this box if it is the leader itself. */
   readonly leader: () => LeaderRecord | undefined
   /** Called with addresses at which other boxes accept links. */
-  readonly met: (addresses: readonly string[]) => void
+  readonly addressesLearned: (addresses: readonly string[]) => void
   readonly log: Log
 }
 
@@ -71,7 +71,7 @@
   private readonly links_: LinkHub
   private readonly backendUpdates_: BackendNews
   private readonly leaseHelp_ = new LeaseHelp(
-    count => this.links_.draw(count),
+    count => this.links_.drawBoxes(count),
     (box, ask, lease) => this.links_.send(box, {t: "renew", ask, lease})
   )
   private pingAt_ = 0
@@ -86,7 +86,7 @@
   }
 
   /** Sends an update of engines to the boxes that the effect names, or to all. */
-  tell(effect: EngineEffect): void {
+  sendEngineUpdate(effect: EngineEffect): void {
     if (effect.type === "loads") {
       return this.links_.broadcast({t: "loads", loads: effect.loads})
     }
@@ -97,27 +97,27 @@
   }
 
   /** Forwards an update that this box read from the store to all boxes. */
-  tellLearned(message: FromLeader): void {
+  broadcastUpdate(message: FromLeader): void {
     this.links_.broadcast(this.shorten(message))
   }
 
   /** Informs a box that its request cannot be served in time. */
-  refuse(box: string, request: string, retryAfterMs: number): void {
+  sendRefusal(box: string, request: string, retryAfterMs: number): void {
     this.links_.send(box, {t: "refuse", request, retryAfterMs})
   }
 
   /** Sends a box its allowances of organisations' limits. */
-  allow(box: string, ask: number, grants: readonly AllowanceGrant[]): void {
+  sendAllowances(box: string, ask: number, grants: readonly AllowanceGrant[]): void {
     this.links_.send(box, {t: "allowances", ask, grants})
   }
 
   /** Informs all boxes of changes in the requests that crash servers. */
-  tellCrashes(changes: CrashUpdate): void {
+  broadcastCrashes(changes: CrashUpdate): void {
     this.links_.broadcast({t: "crashes", changes, whole: false})
   }
 
   /** Informs all boxes of the rates that servers accept from all boxes together. */
-  tellRates(news: readonly RateReport[]): void {
+  broadcastRates(news: readonly RateReport[]): void {
     this.links_.broadcast({t: "rates", news})
   }
 
@@ -138,7 +138,7 @@
   }
 
   /** Sends the result of a store read at once, and a ping with the new snapshot age. */
-  tellReading(now: number): void {
+  sendStoreRead(now: number): void {
     if (this.options_.leadership.fence === undefined) return
     this.sendBackendChanges()
     this.pingAll(now)
@@ -155,7 +155,7 @@
 
   private pingAll(now: number): void {
     this.pingAt_ = now + pingMs(this.boxCount)
-    this.links_.cutSilent(FOLLOWER_SILENCE_MS)
+    this.links_.closeSilent(FOLLOWER_SILENCE_MS)
     this.links_.broadcast(this.createPing(now))
     this.options_.post({type: "boxes", boxes: this.boxCount})
   }
@@ -169,8 +169,8 @@
   }
 
   /** Closes all links because the leadership of this box ended. */
-  cutAll(): void {
-    this.links_.cutAll()
+  closeLinks(): void {
+    this.links_.closeLinks()
   }
 
   close(): void {
@@ -185,11 +185,11 @@
   private linkEvents(): ConstructorParameters<typeof LinkHub>[1] {
     const {log, post, leadership} = this.options_
     return {
-      accepts: () => leadership.fence !== undefined,
-      asked: ask => this.readSnapshot(ask),
+      acceptsFollowers: () => leadership.fence !== undefined,
+      readSnapshot: ask => this.readSnapshot(ask),
       up: (box, configVersion, follower) => {
         log("box-linked", {box})
-        this.options_.met(this.links_.drawAddresses(ADDRESSES_PER_PING))
+        this.options_.addressesLearned(this.links_.drawAddresses(ADDRESSES_PER_PING))
         for (const message of this.listFullState(configVersion)) follower.send(message)
       },
       down: box => {
@@ -206,13 +206,13 @@
   }
 
   private createPing(now: number): FromLeader {
-    const {news, leadership, eras} = this.options_
+    const {snapshotSource, leadership, eras} = this.options_
     const medianAgeMs = this.links_.medianAgeMs(now)
     this.medianStartAt = now - medianAgeMs
     return {
       t: "ping",
-      newsAgeMs: news.ownAgeMs(now),
-      configAgeMs: news.configAgeMs(now),
+      newsAgeMs: snapshotSource.ownAgeMs(now),
+      configAgeMs: snapshotSource.configAgeMs(now),
       sentAt: now,
       boxes: this.boxCount,
       ordersInMs: Math.max(0, Math.round(leadership.orderFrom - now)),
@@ -231,21 +231,21 @@
     configVersion,
     ageMs
   }: StoreSnapshotRequest): Promise<StoreSnapshot | undefined> {
-    const {news, state, leader, eras, log} = this.options_
+    const {snapshotSource, state, leader, eras, log} = this.options_
     try {
-      await news.refresh(ageMs)
+      await snapshotSource.refresh(ageMs)
     } catch (cause) {
       log("news-not-passed", {reason: (cause as Error).message})
       return undefined
     }
     const {serving} = state()
-    const {config} = news
+    const {config} = snapshotSource
     const now = clockNow()
     return {
       t: "news",
       storeEra: eras.tell(now),
-      ageMs: news.ageMs(now),
-      configAgeMs: news.configAgeMs(now),
+      ageMs: snapshotSource.ageMs(now),
+      configAgeMs: snapshotSource.configAgeMs(now),
       config: config && config.version > configVersion ? config : undefined,
       records: listRecords(serving),
       versions: listVersions(serving),
@@ -266,7 +266,7 @@
   private listFullState(configVersion: number): FromLeader[] {
     const now = clockNow()
     const {serving, fleet} = this.options_.state()
-    const {config} = this.options_.news
+    const {config} = this.options_.snapshotSource
     const records = this.options_.settled.isDoubted(now) ? [] : listRecords(serving)
     const versions = listVersions(serving)
     const engines = fleet ? describeFleet(fleet, now) : []
@@ -283,7 +283,7 @@
               gone: [],
               // A leader that has not read the store yet passes on what the last leader
               // sent.
-              ageMs: this.options_.news.ageMs(now),
+              ageMs: this.options_.snapshotSource.ageMs(now),
               sentAt: now
             }
           ]
@@ -302,7 +302,7 @@
   }
 
   private handleMessage(box: string, message: ToLeader): void {
-    const {post, news} = this.options_
+    const {post, snapshotSource} = this.options_
     switch (message.t) {
       case "need":
         return post({type: "need", box, need: message.need})
@@ -334,7 +334,8 @@
       case "send-asks":
         return post({type: "send-asks", box, asks: message.asks})
       case "ask-config":
-        if (news.config) this.links_.send(box, {t: "config", config: news.config})
+        if (snapshotSource.config)
+          this.links_.send(box, {t: "config", config: snapshotSource.config})
         return
       case "ask-all":
         for (const update of this.listFullState(message.configVersion)) {
@@ -342,7 +343,7 @@
         }
         return
       case "renewed":
-        return this.leaseHelp_.answered(message.ask, message.known)
+        return this.leaseHelp_.handleAnswer(message.ask, message.known)
       case "hello":
       case "ask-news":
       case "pong":
--- a/src/adapters/box-links.ts
+++ b/src/adapters/box-links.ts
@@ -79,12 +79,12 @@
 
 export interface HubEvents {
   /** Whether this box is the leader and accepts followers. */
-  readonly accepts: () => boolean
+  readonly acceptsFollowers: () => boolean
   /**
    * Handles a snapshot request of a box without a leader. Undefined if there is no
    * snapshot.
    */
-  readonly asked: (ask: StoreSnapshotRequest) => Promise<FromLeader | undefined>
+  readonly readSnapshot: (ask: StoreSnapshotRequest) => Promise<FromLeader | undefined>
   readonly up: (box: string, configVersion: number, follower: Follower) => void
   readonly down: (box: string) => void
   readonly message: (box: string, message: ToLeader) => void
@@ -153,7 +153,7 @@
   }
 
   /** Returns at most `count` boxes, chosen at random. */
-  draw(count: number): string[] {
+  drawBoxes(count: number): string[] {
     const boxes = [...this.followers_.keys()]
     const first = Math.floor(Math.random() * boxes.length)
     return [...boxes.slice(first), ...boxes.slice(0, first)].slice(0, count)
@@ -161,23 +161,23 @@
 
   /** Returns the link addresses of at most `count` boxes, chosen at random. */
   drawAddresses(count: number): string[] {
-    return this.draw(count).flatMap(box => this.addresses_.get(box) ?? [])
+    return this.drawBoxes(count).flatMap(box => this.addresses_.get(box) ?? [])
   }
 
   /** Closes links that have been silent for longer than `silenceMs`. */
-  cutSilent(silenceMs: number): void {
+  closeSilent(silenceMs: number): void {
     const now = clockNow()
     for (const follower of this.followers_.values()) {
       if (now - follower.heardAt > silenceMs) follower.close()
     }
   }
 
-  cutAll(): void {
+  closeLinks(): void {
     for (const follower of this.followers_.values()) follower.close()
   }
 
   close(): void {
-    this.cutAll()
+    this.closeLinks()
     this.server_.close()
   }
 
@@ -187,7 +187,7 @@
     const handle = (message: ToLeader): void => {
       if (message.t === "ask-news") return void this.answer(follower, message)
       if (message.t === "hello") {
-        if (!this.events_.accepts()) return follower.close()
+        if (!this.events_.acceptsFollowers()) return follower.close()
         clearTimeout(firstMessageTimer)
         box = message.incarnation
         return this.join(follower, message)
@@ -217,7 +217,7 @@
   }
 
   private async answer(follower: Follower, request: StoreSnapshotRequest): Promise<void> {
-    const snapshot = await this.events_.asked(request)
+    const snapshot = await this.events_.readSnapshot(request)
     if (snapshot) follower.send(snapshot)
     else follower.close()
   }
@@ -227,7 +227,7 @@
  * Requests a store snapshot from a box, which need not be the leader. Undefined if the
  * box has none or does not answer in time.
  */
-export function askNews(
+export function requestStoreSnapshot(
   address: string,
   ask: StoreSnapshotRequest,
   limitMs: number
--- a/src/adapters/box-strength.ts
+++ b/src/adapters/box-strength.ts
@@ -14,22 +14,22 @@
 
 export class BoxStrength {
   /** The highest capacity of all boxes, in cores. */
-  top = DEFAULT_CAPACITY
+  topCapacity = DEFAULT_CAPACITY
   private leaderSince_ = 0
 
   /** `capacity`: processor capacity of this box, in cores. 0 means unknown. */
   constructor(readonly capacity: number) {}
 
   get isWeak(): boolean {
-    return this.capacity > 0 && this.capacity < WEAK_SHARE * this.top
+    return this.capacity > 0 && this.capacity < WEAK_SHARE * this.topCapacity
   }
 
-  beginLead(now: number): void {
+  recordElected(now: number): void {
     this.leaderSince_ = now
   }
 
   /** Whether this box should resign as leader in favour of a stronger one. */
-  leadsTooLong(now: number): boolean {
+  shouldResign(now: number): boolean {
     return this.isWeak && now - this.leaderSince_ > WEAK_LEADERSHIP_MS
   }
 }
--- a/src/adapters/leader-backends.ts
+++ b/src/adapters/leader-backends.ts
@@ -5,7 +5,7 @@
 import type {BackendRecord} from "../types/fleet.js"
 import {isAlike} from "./backend-news.js"
 
-export type LeaderBackends = Extract<FromLeader, {t: "backends"}>
+export type LeaderBackendsMessage = Extract<FromLeader, {t: "backends"}>
 
 /**
  * Converts a leader's message to events: one for a full list, or one for each changed
@@ -13,7 +13,7 @@
  * them.
  */
 export function toBackendEvents(
-  {records, whole, gone, ageMs}: LeaderBackends,
+  {records, whole, gone, ageMs}: LeaderBackendsMessage,
   now: number
 ): ServingEvent[] {
   const storeRead: StoreRead = {source: "box", readAt: now - ageMs}
@@ -40,7 +40,7 @@
  * Otherwise most boxes would request them at once, and a leader with little bandwidth
  * would lose its lease while it sends them.
  */
-export class ToldBackends {
+export class LeaderBackendList {
   private readonly records_ = new Map<string, BackendRecord>()
   /**
    * Whether the box has applied other updates of servers since the leader's last full
@@ -48,11 +48,11 @@
    */
   private diverged_ = true
 
-  get strayed(): boolean {
+  get hasDiverged(): boolean {
     return this.diverged_
   }
 
-  take({records, whole, gone}: LeaderBackends): void {
+  applyMessage({records, whole, gone}: LeaderBackendsMessage): void {
     if (whole) {
       this.records_.clear()
       this.diverged_ = false
@@ -64,7 +64,7 @@
   /**
    * Compares a list from another source, which the box has applied, with the leader's.
    */
-  compare(records: readonly BackendRecord[]): void {
+  compareWith(records: readonly BackendRecord[]): void {
     const same = records.every(record => {
       const sent = this.records_.get(record.id)
       return sent !== undefined && isAlike(sent, record)
@@ -76,7 +76,7 @@
    * Records that the box applied an update that cannot be compared, or ignored one of its
    * leader.
    */
-  stray(): void {
+  markDiverged(): void {
     this.diverged_ = true
   }
 }
--- a/src/adapters/leader-way.ts
+++ b/src/adapters/leader-channel.ts
@@ -11,7 +11,7 @@
 type AllowEffect = Extract<RoutedEffect, {type: "allow"}>
 type GrantEffect = Extract<RoutedEffect, {type: "send-grants"}>
 
-export interface LeaderWayOptions {
+export interface LeaderChannelOptions {
   /** The incarnation under which leaders know this box. */
   readonly box: string
   readonly post: (event: RoutedEvent) => void
@@ -19,16 +19,16 @@
   readonly send: (message: ToLeader) => void
   /** The links of the boxes that follow this one. */
   readonly hub: () => BoxHub | undefined
-  readonly leading: () => boolean
+  readonly isLeading: () => boolean
   /** Whether this box is the confirmed leader by its own clock. */
-  readonly mayGive: () => boolean
-  readonly boxes: () => number
+  readonly mayGrant: () => boolean
+  readonly boxCount: () => number
 }
 
-export class LeaderWay {
+export class LeaderChannel {
   private readonly useCounts_ = new UseCounts()
 
-  constructor(private readonly options_: LeaderWayOptions) {}
+  constructor(private readonly options_: LeaderChannelOptions) {}
 
   /** Performs an effect. Returns false if it does not concern the leader. */
   perform(effect: RoutedEffect): boolean {
@@ -63,7 +63,7 @@
         return true
       }
       case "rate-news":
-        if (this.options_.leading()) this.options_.hub()?.tellRates([effect.news])
+        if (this.options_.isLeading()) this.options_.hub()?.broadcastRates([effect.news])
         else this.options_.send({t: "rate", news: effect.news})
         return true
       case "send-asks": {
@@ -77,7 +77,8 @@
         return true
       }
       case "crashes":
-        if (this.options_.leading()) this.options_.hub()?.tellCrashes(effect.changes)
+        if (this.options_.isLeading())
+          this.options_.hub()?.broadcastCrashes(effect.changes)
         else this.options_.send({t: "crashes", changes: effect.changes})
         return true
       default:
@@ -97,19 +98,19 @@
       case "refuse": {
         const {request, retryAfterMs} = effect
         if (effect.box === box) post({type: "refuse", request, retryAfterMs})
-        else hub()?.refuse(effect.box, request, retryAfterMs)
+        else hub()?.sendRefusal(effect.box, request, retryAfterMs)
         return true
       }
       case "allow":
         // The leadership may have ended since the box sent its request.
-        if (this.options_.mayGive()) this.sendAllowances(effect)
+        if (this.options_.mayGrant()) this.sendAllowances(effect)
         return true
       case "send-grants":
-        if (this.options_.mayGive()) this.sendGrants(effect)
+        if (this.options_.mayGrant()) this.sendGrants(effect)
         return true
       case "places":
       case "loads":
-        hub()?.tell(effect)
+        hub()?.sendEngineUpdate(effect)
         post(effect)
         return true
       default:
@@ -120,7 +121,7 @@
   private sendAllowances({box, ask, grants}: AllowEffect): void {
     const {post, hub} = this.options_
     if (box === this.options_.box) post({type: "allowances", ask, grants})
-    else hub()?.allow(box, ask, grants)
+    else hub()?.sendAllowances(box, ask, grants)
   }
 
   private sendGrants({box, grants}: GrantEffect): void {
@@ -130,7 +131,7 @@
   }
 
   private sendToLeader(message: ToLeader, event: RoutedEvent): void {
-    if (this.options_.leading()) this.options_.post(event)
+    if (this.options_.isLeading()) this.options_.post(event)
     else this.options_.send(message)
   }
 
@@ -140,7 +141,7 @@
    * knows that it is free.
    */
   private scheduleFlush(): void {
-    const waitMs = batchIntervalMs(this.options_.boxes())
+    const waitMs = batchIntervalMs(this.options_.boxCount())
     if (waitMs === 0) setImmediate(() => this.flush())
     else setTimeout(() => this.flush(), waitMs)
   }
--- a/src/adapters/leader-election.ts
+++ b/src/adapters/leader-election.ts
@@ -88,19 +88,19 @@
    * The store was restored while this box was leader: it sends no orders until
    * `confirmed`.
    */
-  readonly doubted: () => void
+  readonly suspended: () => void
   readonly confirmed: (fence: number) => void
-  readonly found: (leader: LeaderRecord) => void
+  readonly leaderFound: (leader: LeaderRecord) => void
   /** The last known number of boxes. */
-  readonly boxes: () => number
+  readonly boxCount: () => number
   /** The last known median age of the boxes' processes, milliseconds. */
   readonly medianAgeMs: (now: number) => number
   /** Whether this box has much less processor capacity than others. */
   readonly isWeak: () => boolean
   /** Has other boxes renew the lease. Rejects if none could. */
-  readonly renewElsewhere: (lease: string) => Promise<boolean>
+  readonly renewByOthers: (lease: string) => Promise<boolean>
   /** Reports whether the lease is now renewed by other boxes or by this one again. */
-  readonly helped: (helped: boolean) => void
+  readonly renewedByOthers: (helped: boolean) => void
 }
 
 export class LeaderElection {
@@ -126,18 +126,18 @@
   }
 
   /** Sets whether the box has a link to the leader. */
-  settle(settled: boolean): void {
-    this.linked_ = settled
+  setLinked(linked: boolean): void {
+    this.linked_ = linked
   }
 
   /**
    * Suspends the leadership after a restore of the store, whose backup may lack this
    * box's lease.
    */
-  doubt(): void {
+  suspend(): void {
     if (this.leadership.fence === undefined) return
     suspendLeadership(this.leadership)
-    this.events_.doubted()
+    this.events_.suspended()
     if (this.busy_) return
     clearTimeout(this.timer_)
     this.scheduleTurn(0)
@@ -148,7 +148,7 @@
    * lease may have expired. Tries to renew it before the leadership ends; no order is
    * sent until then.
    */
-  doubtLease(): void {
+  recheckLease(): void {
     if (this.leadership.fence === undefined || isLeader(this.leadership, clockNow()))
       return
     this.renewUntil_ = clockNow() + EXPIRED_RENEW_MS
@@ -201,7 +201,7 @@
     } finally {
       this.busy_ = false
     }
-    this.check()
+    this.endIfExpired()
     if (!this.stopped_) this.scheduleTurn(this.intervalMs())
   }
 
@@ -218,14 +218,14 @@
   }
 
   private lookIntervalMs(): number {
-    return Math.max(LOOK_INTERVAL_MS, this.events_.boxes() * LOOK_INTERVAL_PER_BOX_MS)
+    return Math.max(LOOK_INTERVAL_MS, this.events_.boxCount() * LOOK_INTERVAL_PER_BOX_MS)
   }
 
   /**
    * Ends the leadership if the lease has expired by this box's clock, even if a call is
    * pending.
    */
-  check(): void {
+  endIfExpired(): void {
     const now = clockNow()
     if (this.leadership.fence === undefined || isLeader(this.leadership, now)) return
     if (now >= this.renewUntil_) this.loseLeadership("lease ran out")
@@ -240,7 +240,8 @@
       .then(known => ({known, sentAt, byOthers: false}))
     const renewal = await firstSuccess([own, this.renewByOthers(own, lease)])
     if (this.leadership.lease !== lease) return
-    if (renewal.byOthers !== this.renewedByOthers_) this.events_.helped(renewal.byOthers)
+    if (renewal.byOthers !== this.renewedByOthers_)
+      this.events_.renewedByOthers(renewal.byOthers)
     this.renewedByOthers_ = renewal.byOthers
     // The lease belongs to the previous era: the first claim of the new era decides.
     if (!this.leadership.confirmed) return
@@ -257,7 +258,7 @@
     const answer = await Promise.race([own.catch(() => undefined), pause(HELP_AFTER_MS)])
     if (answer) return answer
     const sentAt = clockNow()
-    const known = await this.events_.renewElsewhere(lease)
+    const known = await this.events_.renewByOthers(lease)
     return {known, sentAt, byOthers: true}
   }
 
@@ -303,7 +304,8 @@
     if (this.stopped_) return
     if (!entry) return this.claimLater()
     const leader = JSON.parse(entry.value) as LeaderRecord
-    if (leader.incarnation !== this.options_.self.incarnation) this.events_.found(leader)
+    if (leader.incarnation !== this.options_.self.incarnation)
+      this.events_.leaderFound(leader)
   }
 
   private async claimLater(): Promise<void> {
--- a/src/adapters/leader-session.ts
+++ b/src/adapters/leader-session.ts
@@ -34,23 +34,23 @@
   /** When the process of this box started. */
   readonly startedAt: number
   readonly kv: KvStore
-  readonly news: NewsSource
-  readonly help: NewsHelp
+  readonly snapshotSource: NewsSource
+  readonly peerSnapshots: NewsHelp
   readonly eras: StoreEras
   readonly post: (event: RoutedEvent) => void
-  readonly boxes: () => number
+  readonly boxCount: () => number
   /** Whether the box is stopping and follows no new leader. */
-  readonly closed: () => boolean
+  readonly isStopping: () => boolean
   /** Called when the leader has sent a configuration. */
-  readonly configured: () => void
+  readonly configReceived: () => void
   /** Called when the link to a leader that had answered is down. */
-  readonly lost: () => void
+  readonly leaderLost: () => void
   /** Called before a message of the leader is handled. */
-  readonly hearing: () => void
+  readonly beforeMessage: () => void
   /** Called with the highest processor capacity of all boxes, in cores. */
-  readonly strongest: (capacity: number) => void
+  readonly topCapacityReported: (capacity: number) => void
   /** Called with the median age of the boxes' processes. */
-  readonly pinged: (medianAgeMs: number) => void
+  readonly medianAgeReported: (medianAgeMs: number) => void
   readonly log: Log
 }
 
@@ -84,7 +84,7 @@
 
   /** Closes a silent link, and sends a heartbeat if one is due. */
   tick(now: number, leading: boolean): void {
-    const intervalMs = pingMs(this.options_.boxes())
+    const intervalMs = pingMs(this.options_.boxCount())
     const maxSilenceMs = Math.max(LINK_SILENCE_MS, MAX_SILENT_PINGS * intervalMs)
     if (this.link_ && this.link_.silentMs > maxSilenceMs) this.link_.close()
     if (leading || now < this.nextPongAt_) return
@@ -94,10 +94,10 @@
 
   /** Links to a leader, unless there is a link already. */
   follow(leader: LeaderRecord): void {
-    const {closed, help, log, lost, post} = this.options_
-    if (this.link_ || closed()) return
+    const {isStopping, peerSnapshots, log, leaderLost, post} = this.options_
+    if (this.link_ || isStopping()) return
     this.leader_ = leader
-    help.learn([leader.address])
+    peerSnapshots.learn([leader.address])
     const link = new LeaderLink(leader.address, this.hello(), {
       down: () => {
         if (this.link_ === link) this.link_ = undefined
@@ -106,10 +106,10 @@
         this.linked_ = false
         if (!wasLinked) return
         log("leader-lost", {leader: leader.box})
-        lost()
+        leaderLost()
       },
       message: message => {
-        this.options_.hearing()
+        this.options_.beforeMessage()
         if (this.link_ !== link) return
         if (!this.linked_) {
           this.linked_ = true
@@ -124,12 +124,12 @@
   }
 
   private hello(): ToLeader {
-    const {self, news, startedAt, capacity} = this.options_
+    const {self, snapshotSource, startedAt, capacity} = this.options_
     return {
       t: "hello",
       box: self.box,
       incarnation: self.incarnation,
-      configVersion: news.config?.version ?? -1,
+      configVersion: snapshotSource.config?.version ?? -1,
       ageMs: Math.round(clockNow() - startedAt),
       address: self.address,
       deflates: true,
@@ -155,9 +155,9 @@
   }
 
   private handleMessage(message: FromLeader): void {
-    const {news, post, configured} = this.options_
-    if (news.takeNews(message)) {
-      if (message.t === "config") configured()
+    const {snapshotSource, post, configReceived} = this.options_
+    if (snapshotSource.takeNews(message)) {
+      if (message.t === "config") configReceived()
       return
     }
     switch (message.t) {
@@ -193,15 +193,22 @@
   }
 
   private handlePing(ping: Extract<FromLeader, {t: "ping"}>): void {
-    const {news, help, eras, post, pinged, strongest} = this.options_
-    pinged(ping.medianAgeMs)
-    if (ping.topCapacity !== undefined) strongest(ping.topCapacity)
+    const {
+      snapshotSource,
+      peerSnapshots,
+      eras,
+      post,
+      medianAgeReported,
+      topCapacityReported
+    } = this.options_
+    medianAgeReported(ping.medianAgeMs)
+    if (ping.topCapacity !== undefined) topCapacityReported(ping.topCapacity)
     // Before the snapshot age, as a store read in a new era is weaker evidence.
     if (ping.storeEra) eras.hear(ping.storeEra)
     post({type: "orders", hasLeader: true, inMs: ping.ordersInMs})
     const {newsAgeMs, configAgeMs = Infinity} = ping
-    news.heardLeader(newsAgeMs, configAgeMs, clockNow())
-    help.learn(ping.others)
+    snapshotSource.heardLeader(newsAgeMs, configAgeMs, clockNow())
+    peerSnapshots.learn(ping.others)
     post({type: "boxes", boxes: ping.boxes})
   }
 
--- a/src/adapters/lease-help.ts
+++ b/src/adapters/lease-help.ts
@@ -45,7 +45,7 @@
   }
 
   /** Handles the answer of a box; the first answer counts. */
-  answered(ask: number, known: boolean): void {
+  handleAnswer(ask: number, known: boolean): void {
     this.waiting_.get(ask)?.(known)
   }
 }
--- a/src/adapters/news-help.ts
+++ b/src/adapters/news-help.ts
@@ -4,7 +4,7 @@
  */
 import type {StoreSnapshotRequest, StoreSnapshot} from "../types/box-messages.js"
 import {firstSuccess} from "../utils/promises.js"
-import {askNews} from "./box-links.js"
+import {requestStoreSnapshot} from "./box-links.js"
 
 /** Number of boxes asked at once, since the service may reject some of them, too. */
 const BOXES_PER_REQUEST = 3
@@ -24,7 +24,7 @@
 
   constructor(
     private readonly ownAddress_: string,
-    private readonly request_: typeof askNews = askNews
+    private readonly request_: typeof requestStoreSnapshot = requestStoreSnapshot
   ) {}
 
   /** Adds addresses at which other boxes accept links. */
--- a/src/adapters/news-source.ts
+++ b/src/adapters/news-source.ts
@@ -27,7 +27,11 @@
 } from "../types/box-messages.js"
 import {clockNow} from "./clock.js"
 import {EntryReader} from "./entry-reader.js"
-import {type LeaderBackends, toBackendEvents, ToldBackends} from "./leader-backends.js"
+import {
+  type LeaderBackendsMessage,
+  toBackendEvents,
+  LeaderBackendList
+} from "./leader-backends.js"
 import {OperatorNews, type OperatorNewsOptions} from "./operator-news.js"
 import type {StoreEras} from "./era-source.js"
 import type {SettledEra} from "./settled-era.js"
@@ -72,7 +76,7 @@
    */
   private mustReread_ = false
   private pendingRead_: Promise<void> | undefined
-  private readonly leaderBackends_ = new ToldBackends()
+  private readonly leaderBackends_ = new LeaderBackendList()
   private readonly operatorState_: OperatorNews
   private readonly reader_: EntryReader
 
@@ -160,7 +164,8 @@
     if (this.trouble_ === "store") this.options_.post({type: "store-served"})
     // The leader sends deltas to its earlier updates, some of which this box's own reads
     // may have undone.
-    if (this.leaderBackends_.strayed || this.trouble_ !== "none") this.options_.askAll()
+    if (this.leaderBackends_.hasDiverged || this.trouble_ !== "none")
+      this.options_.askAll()
     this.trouble_ = "none"
   }
 
@@ -197,11 +202,11 @@
     if (askedAt < (this.listedAt_.get(prefix) ?? -Infinity)) return
     if (prefix === records.backendPrefix) {
       const listed = this.reader_.readBackends(entries)
-      this.leaderBackends_.compare(listed.records)
+      this.leaderBackends_.compareWith(listed.records)
       post({type: "backends", ...listed, reading: {source: "store", readAt: askedAt}})
       // This read was for another box. The leader sends deltas only, so it would not
       // resend the servers that this list removed.
-      if (!this.follower_ && this.leaderBackends_.strayed) this.options_.askAll()
+      if (!this.follower_ && this.leaderBackends_.hasDiverged) this.options_.askAll()
     } else {
       this.operatorState_.takeEntries(entries)
       this.recordConfigRead(askedAt)
@@ -294,7 +299,7 @@
       post({type: "store-served"})
       this.trouble_ = "own"
     }
-    this.leaderBackends_.compare(records)
+    this.leaderBackends_.compareWith(records)
     post({type: "backends", records, reading: {source: "box", readAt: at}})
     if (config) this.operatorState_.takeConfig(config, "box")
     this.recordConfigRead(askedAt - (snapshot.configAgeMs ?? Infinity))
@@ -332,7 +337,7 @@
       if (entry) this.operatorState_.takeEntries([entry])
       return
     }
-    this.leaderBackends_.stray()
+    this.leaderBackends_.markDiverged()
     const record = entry && (this.reader_.readBackend(entry) ?? "unreadable")
     const reading: StoreRead = {source: "store", readAt: clockNow()}
     this.options_.post({type: "backend", id: this.reader_.serverOf(key), record, reading})
@@ -358,9 +363,9 @@
     }
   }
 
-  private applyLeaderBackends(message: LeaderBackends): void {
-    if (this.mustReread_) return this.leaderBackends_.stray()
-    this.leaderBackends_.take(message)
+  private applyLeaderBackends(message: LeaderBackendsMessage): void {
+    if (this.mustReread_) return this.leaderBackends_.markDiverged()
+    this.leaderBackends_.applyMessage(message)
     const now = clockNow()
     for (const event of toBackendEvents(message, now)) this.options_.post(event)
   }
--- a/src/adapters/routed-box.ts
+++ b/src/adapters/routed-box.ts
@@ -35,21 +35,21 @@
 import {EngineDriver, orderPool} from "./engine-driver.js"
 import {LeaderElection} from "./leader-election.js"
 import {LeaderSession} from "./leader-session.js"
-import {LeaderWay} from "./leader-way.js"
+import {LeaderChannel} from "./leader-channel.js"
 import type {Log} from "./log.js"
 import {startLoop} from "./loop.js"
 import type {Metrics} from "./metrics.js"
 import {NewsHelp} from "./news-help.js"
 import {NewsSource} from "./news-source.js"
 import type {RunningProcess} from "./process.js"
-import {measureBox, measureNote} from "./routed-metrics.js"
+import {registerGauges, recordLogEvent} from "./routed-metrics.js"
 import {RoutedRelay} from "./routed-relay.js"
 import {countStoreCalls} from "./store-counter.js"
 import {UsageStore} from "./usage-store.js"
 import type {StoreEras} from "./era-source.js"
 import {SettledEra} from "./settled-era.js"
 import {probeServer} from "./server-probe.js"
-import {limitCallers, listenAt, serveText} from "./routed-server.js"
+import {applyCallerLimits, listenAt, serveText} from "./routed-server.js"
 
 /** A tick that is later than this is logged as a process pause. */
 const LOGGED_PAUSE_MS = 1_200
@@ -99,8 +99,8 @@
   private readonly leadershipOptions_: LeadershipOptions
   private readonly self_: LeaderRecord
   private readonly session_: LeaderSession
-  private readonly leaderChannel_: LeaderWay
-  private readonly snapshotHelp_: NewsHelp
+  private readonly leaderChannel_: LeaderChannel
+  private readonly peerSnapshots_: NewsHelp
   private readonly usageStore_: UsageStore
   private readonly crashStore_: CrashStore
   private hub_: BoxHub | undefined
@@ -131,7 +131,7 @@
       incarnation: this.incarnation_,
       address: settings.boxes
     }
-    this.snapshotHelp_ = new NewsHelp(settings.boxes)
+    this.peerSnapshots_ = new NewsHelp(settings.boxes)
     const draw = (): number => {
       const [value, next] = uniformFloat64(this.random_)
       this.random_ = next
@@ -177,7 +177,7 @@
       serving: () => serving,
       random: draw,
       log,
-      closing: () => this.stopping_
+      isStopping: () => this.stopping_
     })
     this.settledEra_ = new SettledEra({
       kv,
@@ -193,7 +193,7 @@
       log,
       learned: message => {
         if (message.t === "config") this.applyLimits()
-        this.hub_?.tellLearned(message)
+        this.hub_?.broadcastUpdate(message)
       },
       startedAt: clockNow(),
       askLeader: () => this.session_.send({t: "ask-config"}),
@@ -201,7 +201,7 @@
         const configVersion = this.snapshotSource_.config?.version ?? -1
         this.session_.send({t: "ask-all", configVersion})
       },
-      renewed: () => this.hub_?.tellReading(clockNow()),
+      renewed: () => this.hub_?.sendStoreRead(clockNow()),
       askBoxes: ask => this.requestSnapshot(ask),
       eras,
       settled: this.settledEra_
@@ -209,31 +209,31 @@
     this.session_ = new LeaderSession({
       self: this.self_,
       capacity: this.strength_.capacity,
-      strongest: capacity => (this.strength_.top = capacity),
+      topCapacityReported: capacity => (this.strength_.topCapacity = capacity),
       startedAt: this.startedAt_,
       kv,
-      news: this.snapshotSource_,
-      help: this.snapshotHelp_,
+      snapshotSource: this.snapshotSource_,
+      peerSnapshots: this.peerSnapshots_,
       eras,
       post,
-      boxes: () => serving.boxCount,
-      closed: () => this.stopping_,
-      configured: () => this.applyLimits(),
-      lost: () => {
+      boxCount: () => serving.boxCount,
+      isStopping: () => this.stopping_,
+      configReceived: () => this.applyLimits(),
+      leaderLost: () => {
         if (!this.isLeading) this.expectTakeover()
       },
-      hearing: () => this.detectPause(clockNow()),
-      pinged: medianAgeMs => (this.medianStartAt_ = clockNow() - medianAgeMs),
+      beforeMessage: () => this.detectPause(clockNow()),
+      medianAgeReported: medianAgeMs => (this.medianStartAt_ = clockNow() - medianAgeMs),
       log
     })
-    this.leaderChannel_ = new LeaderWay({
+    this.leaderChannel_ = new LeaderChannel({
       box: this.incarnation_,
       post,
       send: message => this.session_.send(message),
       hub: () => this.hub_,
-      leading: () => this.isLeading,
-      mayGive: () => this.mayGrant,
-      boxes: () => serving.boxCount
+      isLeading: () => this.isLeading,
+      mayGrant: () => this.mayGrant,
+      boxCount: () => serving.boxCount
     })
     this.usageStore_ = new UsageStore({
       kv,
@@ -273,23 +273,23 @@
       {
         won: fence => this.handleElected(fence),
         lost: reason => this.handleLeadershipEnded(reason),
-        doubted: () => log("lead-unconfirmed", {era: eras.era ?? -1}),
+        suspended: () => log("lead-unconfirmed", {era: eras.era ?? -1}),
         confirmed: fence => {
           log("lead-confirmed", {fence, era: eras.era ?? -1})
           this.crashStore_.begin()
         },
-        found: leader => this.session_.follow(leader),
-        boxes: () => serving.boxCount,
+        leaderFound: leader => this.session_.follow(leader),
+        boxCount: () => serving.boxCount,
         medianAgeMs: now => now - this.medianStartAt_,
         isWeak: () => this.strength_.isWeak,
-        renewElsewhere: lease => this.renewElsewhere(lease),
-        helped: helped => log(helped ? "lease-helped" : "lease-own")
+        renewByOthers: lease => this.renewElsewhere(lease),
+        renewedByOthers: helped => log(helped ? "lease-helped" : "lease-own")
       }
     )
     eras.listen((known, rose) => {
       post({type: "era", known, restored: rose})
       if (!rose) return
-      this.election_.doubt()
+      this.election_.suspend()
       this.crashStore_.begin()
     })
   }
@@ -297,7 +297,7 @@
   async listen(): Promise<void> {
     const {settings, log, metrics} = this.context_
     this.callers_ = await listenAt(settings.callers, (req, res) => {
-      this.relay_.take(req, res).catch((cause: Error) => {
+      this.relay_.handleRequest(req, res).catch((cause: Error) => {
         log("crashed", {reason: cause.stack ?? String(cause)})
         res.destroy()
       })
@@ -309,11 +309,11 @@
         return {status: ready ? 200 : 503, text: ready ? "ready\n" : "not ready\n"}
       })
     )
-    measureBox(metrics, {
+    registerGauges(metrics, {
       state: this.loop_.state,
-      news: this.snapshotSource_,
+      snapshotSource: this.snapshotSource_,
       era: () => this.context_.eras.era,
-      openRequests: () => this.relay_.open
+      openRequests: () => this.relay_.openRequests
     })
     if (settings.metrics !== undefined) {
       this.servers_.push(
@@ -328,13 +328,14 @@
         address: settings.boxes,
         state: this.loop_.state,
         post: this.loop_.post,
-        news: this.snapshotSource_,
+        snapshotSource: this.snapshotSource_,
         capacity: this.strength_.capacity,
         leadership: this.election_.leadership,
         eras: this.context_.eras,
         settled: this.settledEra_,
         leader: () => (this.isLeading ? this.self_ : this.session_.leader),
-        met: (addresses: readonly string[]) => this.snapshotHelp_.learn(addresses),
+        addressesLearned: (addresses: readonly string[]) =>
+          this.peerSnapshots_.learn(addresses),
         log
       }
       this.hub_ = new BoxHub(options, resolve, reject)
@@ -351,7 +352,7 @@
     this.stopping_ = true
     const {log, settings} = this.context_
     const deadline = clockNow() + settings.graceS * 900
-    log("stopping", {open: this.relay_.open})
+    log("stopping", {open: this.relay_.openRequests})
     this.loop_.post({type: "stop"})
     const listenUntil = clockNow() + Math.min(STOP_LISTEN_MS, settings.graceS * 500)
     // Stays leader while it accepts requests, so that loads go on: the next leader has to
@@ -364,7 +365,7 @@
     await this.usageStore_.settle(MAX_USAGE_SAVE_MS)
     await this.election_.stop()
     while (clockNow() < deadline) {
-      const idle = this.relay_.open === 0 && clockNow() >= listenUntil
+      const idle = this.relay_.openRequests === 0 && clockNow() >= listenUntil
       if (clockNow() >= listenUntil) this.closeIdle()
       if (idle) break
       await new Promise(resolve => setTimeout(resolve, STOP_CHECK_MS))
@@ -372,7 +373,7 @@
     this.snapshotSource_.stopFollowing()
     this.session_.close()
     this.hub_?.close()
-    log("stopped", {open: this.relay_.open})
+    log("stopped", {open: this.relay_.openRequests})
     this.resolveStopped_()
   }
 
@@ -386,18 +387,18 @@
     const now = clockNow()
     this.detectPause(now)
     this.lastTickAt_ = now
-    this.election_.check()
+    this.election_.endIfExpired()
     const leading = this.election_.leadership.fence !== undefined
     this.session_.tick(now, leading)
-    this.election_.settle(this.session_.linked)
+    this.election_.setLinked(this.session_.linked)
     this.snapshotSource_.choose(leading, now)
     this.closeUnusedPools()
     if (leading) {
       this.settledEra_.settleIfDue(now)
       this.hub_?.pingIfDue(now)
       this.medianStartAt_ = this.hub_?.medianStartAt ?? this.medianStartAt_
-      this.strength_.top = this.hub_?.topCapacity ?? 0
-      if (this.strength_.leadsTooLong(now)) this.election_.resign()
+      this.strength_.topCapacity = this.hub_?.topCapacity ?? 0
+      if (this.strength_.shouldResign(now)) this.election_.resign()
     }
     return canOrder(this.election_.leadership, now)
   }
@@ -416,7 +417,7 @@
       // The clock has stepped relative to the leader's, so ages of its messages would be
       // wrong.
       this.session_.close()
-      this.election_.doubtLease()
+      this.election_.recheckLease()
     }
     const gap = now - this.lastTickAt_
     if (gap < PROCESS_PAUSE_MS) return
@@ -443,7 +444,7 @@
     const {orderFrom} = this.election_.leadership
     const waitMs = Math.round(orderFrom - clockNow())
     this.context_.log("leading", {fence, waitMs})
-    this.strength_.beginLead(clockNow())
+    this.strength_.recordElected(clockNow())
     this.session_.close()
     this.loop_.post({type: "lead"})
     this.loop_.post({type: "orders", hasLeader: true, inMs: Math.max(0, waitMs)})
@@ -454,7 +455,7 @@
 
   private handleLeadershipEnded(reason: string): void {
     this.context_.log("lead-over", {reason})
-    this.hub_?.cutAll()
+    this.hub_?.closeLinks()
     this.loop_.post({type: "lead-over"})
     this.expectTakeover()
   }
@@ -468,7 +469,7 @@
   private async requestSnapshot(
     request: StoreSnapshotRequest
   ): Promise<StoreSnapshot | undefined> {
-    const snapshot = await this.snapshotHelp_.ask(request)
+    const snapshot = await this.peerSnapshots_.ask(request)
     if (
       snapshot?.leader &&
       snapshot.leader.incarnation !== this.incarnation_ &&
@@ -490,7 +491,7 @@
   private perform(effect: RoutedEffect): void {
     switch (effect.type) {
       case "note":
-        measureNote(this.context_.metrics, effect.event, effect.fields)
+        recordLogEvent(this.context_.metrics, effect.event, effect.fields)
         return this.context_.log(effect.event, effect.fields)
       case "read-usage":
         return void this.usageStore_.read()
@@ -530,6 +531,6 @@
   /** Applies the callers' limits of the current configuration, if there is one. */
   private applyLimits(): void {
     const {config} = this.snapshotSource_
-    if (config && this.callers_) limitCallers(this.callers_, config.limits)
+    if (config && this.callers_) applyCallerLimits(this.callers_, config.limits)
   }
 }
--- a/src/adapters/routed-metrics.ts
+++ b/src/adapters/routed-metrics.ts
@@ -13,18 +13,18 @@
 const MAX_REPORTED_AGE_MS = 3_600_000
 
 /** The parts of a box from which its gauges are read. */
-export interface MeasuredBox {
+export interface GaugeSources {
   readonly state: () => RoutedState
-  readonly news: NewsSource
+  readonly snapshotSource: NewsSource
   /** Era of the key-value service. Undefined if the service reports none. */
   readonly era: () => number | undefined
   readonly openRequests: () => number
 }
 
 /** Registers the gauges of a box. */
-export function measureBox(
+export function registerGauges(
   metrics: Metrics,
-  {state, news, era, openRequests}: MeasuredBox
+  {state, snapshotSource, era, openRequests}: GaugeSources
 ): void {
   const {serving} = state()
   metrics.gauge("sedge_store_era", {}, () => era() ?? 0)
@@ -32,18 +32,18 @@
   metrics.gauge("sedge_leads", {}, () => (state().fleet === undefined ? 0 : 1))
   metrics.gauge("sedge_boxes", {}, () => serving.boxCount)
   metrics.gauge("sedge_backend_servers", {}, () => serving.backends.known.size)
-  metrics.gauge("sedge_unreadable_entries", {}, () => news.unreadable)
-  metrics.gauge("sedge_config_version", {}, () => news.config?.version ?? 0)
+  metrics.gauge("sedge_unreadable_entries", {}, () => snapshotSource.unreadable)
+  metrics.gauge("sedge_config_version", {}, () => snapshotSource.config?.version ?? 0)
   metrics.gauge("sedge_paced_servers", {}, () => serving.advertisedRates.list().length)
   metrics.gauge("sedge_sends_allowed", {}, () => state().pacer?.granted ?? 0)
   metrics.gauge("sedge_sends_not_allowed", {}, () => state().pacer?.refused ?? 0)
   metrics.gauge("sedge_news_age_ms", {}, () =>
-    Math.min(MAX_REPORTED_AGE_MS, news.ageMs(clockNow()))
+    Math.min(MAX_REPORTED_AGE_MS, snapshotSource.ageMs(clockNow()))
   )
 }
 
 /** Counts a log event, and records the durations of an answered request by route. */
-export function measureNote(
+export function recordLogEvent(
   metrics: Metrics,
   event: BoxLogEvent | FleetLogEvent,
   fields: LogFields
--- a/src/adapters/routed-relay.ts
+++ b/src/adapters/routed-relay.ts
@@ -69,7 +69,7 @@
    * Whether the box is stopping, so that callers' connections are closed after their
    * answers.
    */
-  readonly closing: () => boolean
+  readonly isStopping: () => boolean
 }
 
 type SendEffect = Extract<BoxEffect, {type: "send"}>
@@ -80,12 +80,12 @@
 
   constructor(private readonly options_: RelayOptions) {}
 
-  get open(): number {
+  get openRequests(): number {
     return this.exchanges_.size
   }
 
   /** Reads a caller's request, checks its route and key, and hands it to the core. */
-  async take(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  async handleRequest(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const {table} = this.options_.serving()
     const facts = this.options_.dialect.readRequest(req.headers)
     const limit = table?.config.limits.maxBodyBytes ?? Infinity
@@ -197,7 +197,7 @@
         this.send(exchange, effect)
         return true
       case "pass":
-        exchange.pass(this.options_.closing())
+        exchange.pass(this.options_.isStopping())
         return true
       case "discard":
         // Reading the answer to its end allows the connection to be reused.
@@ -311,7 +311,7 @@
         done: () => {
           if (!current()) return
           this.exchanges_.delete(id)
-          exchange.complete(this.options_.closing())
+          exchange.complete(this.options_.isStopping())
           post({type: "done", id, attempt})
         },
         failed: () => fail(started ? "broken" : "not-sent")
@@ -335,7 +335,7 @@
     const headers: Record<string, string> = {...own}
     if (RETRYABLE_REASONS.has(reason))
       headers["retry-after"] = (retryAfterMs / 1000).toFixed(2)
-    if (this.options_.closing()) headers.connection = "close"
+    if (this.options_.isStopping()) headers.connection = "close"
     exchange.refuse(END_STATUS[reason], problem(reason), headers)
   }
 
--- a/src/adapters/routed-server.ts
+++ b/src/adapters/routed-server.ts
@@ -26,7 +26,7 @@
 const BACKLOG = 1_024
 
 /** Applies the configured time limits for callers' connections. */
-export function limitCallers(server: Server, limits: CallerLimits): void {
+export function applyCallerLimits(server: Server, limits: CallerLimits): void {
   server.headersTimeout = limits.headerTimeoutMs
   server.keepAliveTimeout = limits.idleTimeoutMs
 }
--- a/test/store-counter.test.ts
+++ b/test/store-counter.test.ts
@@ -179,14 +179,14 @@
     {
       won: () => setTimeout(() => (renewed = true), 450),
       lost: () => undefined,
-      doubted: () => undefined,
+      suspended: () => undefined,
       confirmed: () => undefined,
-      found: () => undefined,
-      boxes: () => 1,
+      leaderFound: () => undefined,
+      boxCount: () => 1,
       medianAgeMs: () => 0,
       isWeak: () => false,
-      renewElsewhere: () => Promise.reject(new KvUnavailable("none")),
-      helped: () => undefined
+      renewByOthers: () => Promise.reject(new KvUnavailable("none")),
+      renewedByOthers: () => undefined
     }
   )
   await until("a renewal", () => renewed)
--- a/test/versions-sends.test.ts
+++ b/test/versions-sends.test.ts
@@ -55,12 +55,12 @@
     serving: () => serving,
     random: () => 0,
     log: () => undefined,
-    closing: () => false
+    isStopping: () => false
   })
   relay.pools.send = (_id, _address, _connections, _options, handler) => {
     sends.push(handler)
   }
-  const server = createServer((req, res) => void relay.take(req, res))
+  const server = createServer((req, res) => void relay.handleRequest(req, res))
   await new Promise<void>(resolve => server.listen(0, "127.0.0.1", () => resolve()))
   t.teardown(() => server.closeAllConnections())
   t.teardown(() => server.close())
