--- a/src/adapters/backend-pools.ts
+++ b/src/adapters/backend-pools.ts
@@ -57,7 +57,7 @@
   }
 
   /** Closes the pools of all other backend servers after their requests in progress. */
-  keep(ids: ReadonlySet<string>): void {
+  retainOnly(ids: ReadonlySet<string>): void {
     for (const [id, pool] of this.pools_) {
       if (ids.has(id)) continue
       this.pools_.delete(id)
--- a/src/adapters/backend-news.ts
+++ b/src/adapters/backend-updates.ts
@@ -7,20 +7,20 @@
 import type {BackendRecord} from "../types/fleet.js"
 import {clockNow} from "./clock.js"
 
-export class BackendNews {
+export class BackendUpdates {
   private lastKnown_: ReadonlyMap<string, KnownBackend> = new Map()
   private readonly lastSent_ = new Map<string, BackendRecord>()
 
   constructor(private readonly send_: (message: FromLeader) => void) {}
 
   /** Sends the changes, if there are any. */
-  tell(known: ReadonlyMap<string, KnownBackend>): void {
+  sendChanges(known: ReadonlyMap<string, KnownBackend>): void {
     if (known === this.lastKnown_) return
     this.lastKnown_ = known
     const records: BackendRecord[] = []
     for (const [id, {record}] of known) {
       const sent = this.lastSent_.get(id)
-      if (sent && isAlike(sent, record)) continue
+      if (sent && isSameBackend(sent, record)) continue
       this.lastSent_.set(id, record)
       records.push(withoutModels(record))
     }
@@ -38,7 +38,7 @@
 }
 
 /** Whether boxes would treat both records the same. */
-export function isAlike(a: BackendRecord, b: BackendRecord): boolean {
+export function isSameBackend(a: BackendRecord, b: BackendRecord): boolean {
   return (
     a.service === b.service &&
     a.address === b.address &&
--- a/src/adapters/bounded-log.ts
+++ b/src/adapters/bounded-log.ts
@@ -47,8 +47,8 @@
   }
   const log: Log = (event, fields = {}) => {
     const severity = EVENTS[event].level
-    if (!limit.takes(severity === "warn" || severity === "error")) return
-    const omitted = limit.takeLeftOut()
+    if (!limit.tryTake(severity === "warn" || severity === "error")) return
+    const omitted = limit.drainOmitted()
     if (omitted > 0) write("log-limited", {lines: omitted})
     write(event, fields)
   }
@@ -63,9 +63,9 @@
 
 export interface LineLimit {
   /** Whether a line may be written now. */
-  readonly takes: (urgent: boolean) => boolean
+  readonly tryTake: (urgent: boolean) => boolean
   /** Returns and resets the number of omitted lines. */
-  readonly takeLeftOut: () => number
+  readonly drainOmitted: () => number
 }
 
 /** Creates a token bucket of log lines with a reserve for urgent ones. */
@@ -74,7 +74,7 @@
   let refilledAt = now()
   let omittedLines = 0
   return {
-    takes(urgent) {
+    tryTake(urgent) {
       const at = now()
       available = Math.min(
         BURST_LINES,
@@ -88,7 +88,7 @@
       available--
       return true
     },
-    takeLeftOut() {
+    drainOmitted() {
       const omitted = omittedLines
       omittedLines = 0
       return omitted
--- a/src/adapters/box-hub.ts
+++ b/src/adapters/box-hub.ts
@@ -21,11 +21,11 @@
 import type {CrashUpdate} from "../types/crash-messages.js"
 import type {AllowanceGrant} from "../types/usage-messages.js"
 import {clockNow} from "./clock.js"
-import {BackendNews, withoutModels} from "./backend-news.js"
+import {BackendUpdates, withoutModels} from "./backend-updates.js"
 import {LinkHub} from "./box-links.js"
 import {LeaseHelp} from "./lease-help.js"
 import type {Log} from "./log.js"
-import type {NewsSource} from "./news-source.js"
+import type {SnapshotSource} from "./snapshot-source.js"
 import type {StoreEras} from "./era-source.js"
 import type {SettledEra} from "./settled-era.js"
 
@@ -49,7 +49,7 @@
   readonly address: string
   readonly state: () => RoutedState
   readonly post: (event: RoutedEvent) => void
-  readonly snapshotSource: NewsSource
+  readonly snapshotSource: SnapshotSource
   /** Processor capacity of this box, in cores. */
   readonly capacity: number
   readonly leadership: Leadership
@@ -69,7 +69,7 @@
   /** Median start time of the boxes' processes, by the clock of this box. */
   medianStartAt = clockNow()
   private readonly links_: LinkHub
-  private readonly backendUpdates_: BackendNews
+  private readonly backendUpdates_: BackendUpdates
   private readonly leaseHelp_ = new LeaseHelp(
     count => this.links_.drawBoxes(count),
     (box, ask, lease) => this.links_.send(box, {t: "renew", ask, lease})
@@ -82,7 +82,7 @@
     failed: (cause: Error) => void
   ) {
     this.links_ = new LinkHub(options_.address, this.linkEvents(), listening, failed)
-    this.backendUpdates_ = new BackendNews(message => this.links_.broadcast(message))
+    this.backendUpdates_ = new BackendUpdates(message => this.links_.broadcast(message))
   }
 
   /** Sends an update of engines to the boxes that the effect names, or to all. */
@@ -149,8 +149,8 @@
     const {serving} = state()
     // After a restore this list may be incomplete. Other boxes may hold more servers and
     // must not drop those that are missing here.
-    if (settled.isDoubted(clockNow())) return
-    this.backendUpdates_.tell(serving.backends.known)
+    if (settled.mayReadRestoredEntries(clockNow())) return
+    this.backendUpdates_.sendChanges(serving.backends.known)
   }
 
   private pingAll(now: number): void {
@@ -211,7 +211,7 @@
     this.medianStartAt = now - medianAgeMs
     return {
       t: "ping",
-      newsAgeMs: snapshotSource.ownAgeMs(now),
+      newsAgeMs: snapshotSource.readAgeMs(now),
       configAgeMs: snapshotSource.configAgeMs(now),
       sentAt: now,
       boxes: this.boxCount,
@@ -219,7 +219,7 @@
       medianAgeMs,
       others: this.links_.drawAddresses(ADDRESSES_PER_PING),
       topCapacity: this.topCapacity,
-      storeEra: eras.tell(now)
+      storeEra: eras.report(now)
     }
   }
 
@@ -243,7 +243,7 @@
     const now = clockNow()
     return {
       t: "news",
-      storeEra: eras.tell(now),
+      storeEra: eras.report(now),
       ageMs: snapshotSource.ageMs(now),
       configAgeMs: snapshotSource.configAgeMs(now),
       config: config && config.version > configVersion ? config : undefined,
@@ -267,7 +267,9 @@
     const now = clockNow()
     const {serving, fleet} = this.options_.state()
     const {config} = this.options_.snapshotSource
-    const records = this.options_.settled.isDoubted(now) ? [] : listRecords(serving)
+    const records = this.options_.settled.mayReadRestoredEntries(now)
+      ? []
+      : listRecords(serving)
     const versions = listVersions(serving)
     const engines = fleet ? describeFleet(fleet, now) : []
     const loads = fleet ? describeLoads(fleet) : {order: [], hundreds: []}
--- a/src/adapters/clock.ts
+++ b/src/adapters/clock.ts
@@ -17,7 +17,7 @@
 /** The clocks of the system (ms). */
 export interface ClockSources {
   /** Monotonic clock. It may stop while the machine is suspended. */
-  readonly steady: () => number
+  readonly monotonic: () => number
   readonly timeOfDay: () => number
 }
 
@@ -33,7 +33,7 @@
   /** Returns the monotonic time, suspensions included (ms). */
   readonly now = (): number => {
     this.detectStep()
-    return this.sources_.steady() + this.suspendedMs_
+    return this.sources_.monotonic() + this.suspendedMs_
   }
 
   /**
@@ -54,14 +54,14 @@
   }
 
   private readOffset(): number {
-    const {steady, timeOfDay} = this.sources_
+    const {monotonic: steady, timeOfDay} = this.sources_
     const before = steady()
     return timeOfDay() - before
   }
 }
 
 const clock = new ProcessClock({
-  steady: () => performance.now(),
+  monotonic: () => performance.now(),
   timeOfDay: () => Date.now()
 })
 
--- a/src/adapters/crash-store.ts
+++ b/src/adapters/crash-store.ts
@@ -33,7 +33,7 @@
   readonly leads: () => boolean
   readonly list: () => readonly CrashReport[]
   /** Called with the records of an earlier leader. */
-  readonly learned: (records: readonly CrashReport[]) => void
+  readonly onRead: (records: readonly CrashReport[]) => void
   readonly log: Log
 }
 
@@ -49,7 +49,7 @@
    * Reads the stored value again before the next save. Called when this box starts to
    * lead, or when the service was restored from an older backup.
    */
-  begin(): void {
+  resync(): void {
     this.position_ = undefined
     this.saveSoon()
   }
@@ -84,7 +84,7 @@
   }
 
   private async read(): Promise<void> {
-    const {key, learned, log} = this.options_
+    const {key, onRead: learned, log} = this.options_
     const entry = await this.storeFor("crash-read").get(key)
     this.position_ = entry ?? {revision: 0}
     this.savedText_ = entry?.value ?? "[]"
--- a/src/adapters/era-source.ts
+++ b/src/adapters/era-source.ts
@@ -35,13 +35,13 @@
   }
 
   /** Returns the era to send to other boxes. Undefined if the service reports none. */
-  tell(now: number): ReportedEra | undefined {
+  report(now: number): ReportedEra | undefined {
     if (!this.known_) return undefined
     const {era, begunBy, restored} = this.known_
     return {era, ageMs: now - begunBy, risen: restored}
   }
 
-  listen(listener: EraListener): void {
+  onChange(listener: EraListener): void {
     this.listeners_.push(listener)
   }
 
@@ -51,7 +51,7 @@
    * @throws KvUnknown if the call was sent before the known era was learned and was
    * answered from an earlier one.
    */
-  place(header: string | undefined, sentAt: number): number | undefined {
+  resolveEra(header: string | undefined, sentAt: number): number | undefined {
     if (header === undefined && !this.known_) return undefined
     const era = readEra(header)
     if (era === undefined) {
@@ -71,7 +71,7 @@
   }
 
   /** Handles the era reported by another box. */
-  hear({era, ageMs, risen}: ReportedEra): void {
+  handleReport({era, ageMs, risen}: ReportedEra): void {
     this.merge({era, begunBy: clockNow() - ageMs, restored: risen})
   }
 
--- a/src/adapters/leader-backends.ts
+++ b/src/adapters/leader-backends.ts
@@ -3,7 +3,7 @@
 import type {ServingEvent} from "../core/serving-events.js"
 import type {FromLeader} from "../types/box-messages.js"
 import type {BackendRecord} from "../types/fleet.js"
-import {isAlike} from "./backend-news.js"
+import {isSameBackend} from "./backend-updates.js"
 
 export type LeaderBackendsMessage = Extract<FromLeader, {t: "backends"}>
 
@@ -67,7 +67,7 @@
   compareWith(records: readonly BackendRecord[]): void {
     const same = records.every(record => {
       const sent = this.records_.get(record.id)
-      return sent !== undefined && isAlike(sent, record)
+      return sent !== undefined && isSameBackend(sent, record)
     })
     if (!same || records.length !== this.records_.size) this.diverged_ = true
   }
--- a/src/adapters/leader-session.ts
+++ b/src/adapters/leader-session.ts
@@ -12,8 +12,8 @@
 import {pingMs} from "./box-hub.js"
 import {LeaderLink} from "./box-links.js"
 import type {Log} from "./log.js"
-import type {NewsHelp} from "./news-help.js"
-import type {NewsSource} from "./news-source.js"
+import type {PeerSnapshots} from "./peer-snapshots.js"
+import type {SnapshotSource} from "./snapshot-source.js"
 import {callAs} from "./store-counter.js"
 import type {StoreEras} from "./era-source.js"
 
@@ -34,8 +34,8 @@
   /** When the process of this box started. */
   readonly startedAt: number
   readonly kv: KvStore
-  readonly snapshotSource: NewsSource
-  readonly peerSnapshots: NewsHelp
+  readonly snapshotSource: SnapshotSource
+  readonly peerSnapshots: PeerSnapshots
   readonly eras: StoreEras
   readonly post: (event: RoutedEvent) => void
   readonly boxCount: () => number
@@ -97,7 +97,7 @@
     const {isStopping, peerSnapshots, log, leaderLost, post} = this.options_
     if (this.link_ || isStopping()) return
     this.leader_ = leader
-    peerSnapshots.learn([leader.address])
+    peerSnapshots.addAddresses([leader.address])
     const link = new LeaderLink(leader.address, this.hello(), {
       down: () => {
         if (this.link_ === link) this.link_ = undefined
@@ -156,7 +156,7 @@
 
   private handleMessage(message: FromLeader): void {
     const {snapshotSource, post, configReceived} = this.options_
-    if (snapshotSource.takeNews(message)) {
+    if (snapshotSource.applyLeaderMessage(message)) {
       if (message.t === "config") configReceived()
       return
     }
@@ -204,11 +204,11 @@
     medianAgeReported(ping.medianAgeMs)
     if (ping.topCapacity !== undefined) topCapacityReported(ping.topCapacity)
     // Before the snapshot age, as a store read in a new era is weaker evidence.
-    if (ping.storeEra) eras.hear(ping.storeEra)
+    if (ping.storeEra) eras.handleReport(ping.storeEra)
     post({type: "orders", hasLeader: true, inMs: ping.ordersInMs})
     const {newsAgeMs, configAgeMs = Infinity} = ping
-    snapshotSource.heardLeader(newsAgeMs, configAgeMs, clockNow())
-    peerSnapshots.learn(ping.others)
+    snapshotSource.handleLeaderAges(newsAgeMs, configAgeMs, clockNow())
+    peerSnapshots.addAddresses(ping.others)
     post({type: "boxes", boxes: ping.boxes})
   }
 
--- a/src/adapters/operator-news.ts
+++ b/src/adapters/operator-state.ts
@@ -17,25 +17,25 @@
 /** Source of an update. The leader sends its updates to all other boxes, too. */
 type UpdateSource = "store" | "box" | "leader"
 
-export interface OperatorNewsOptions {
+export interface OperatorStateOptions {
   readonly kv: KvStore
   readonly records: FleetRecords
   readonly post: (event: ServingEvent) => void
   readonly log: Log
   /** Called with each newer configuration or version, for a leader to pass on. */
-  readonly learned: (message: FromLeader) => void
+  readonly onUpdate: (message: FromLeader) => void
   /** Requests the announced configuration from the leader. */
-  readonly askLeader: () => void
+  readonly requestConfig: () => void
 }
 
-export class OperatorNews {
+export class OperatorState {
   private config_: FleetConfig | undefined
   /** Version of the newest configuration that the leader announced. */
   private announcedVersion_ = -1
   private readonly versions_ = new Map<string, number>()
 
   constructor(
-    private readonly options_: OperatorNewsOptions,
+    private readonly options_: OperatorStateOptions,
     private readonly reader_: EntryReader
   ) {}
 
@@ -53,29 +53,30 @@
     return this.announcedVersion_ > this.configVersion
   }
 
-  takeEntries(entries: readonly KvEntry[]): void {
+  applyEntries(entries: readonly KvEntry[]): void {
     const {configs, versions} = this.reader_.readOperators(entries)
-    for (const config of configs) this.takeConfig(config, "store")
-    this.takeVersions(versions)
+    for (const config of configs) this.applyConfig(config, "store")
+    this.applyVersions(versions)
   }
 
   /** Applies and passes on only newer versions, since each list repeats all of them. */
-  takeVersions(versions: readonly AdapterVersion[]): void {
+  applyVersions(versions: readonly AdapterVersion[]): void {
     const newer = versions.filter(
       ([adapter, version]) => version > (this.versions_.get(adapter) ?? -1)
     )
     if (newer.length === 0) return
     for (const [adapter, version] of newer) this.versions_.set(adapter, version)
     this.options_.post({type: "versions", versions: newer})
-    this.options_.learned({t: "versions", versions: newer})
+    this.options_.onUpdate({t: "versions", versions: newer})
   }
 
   /** Applies a configuration unless its version is older or the same. */
-  takeConfig(config: FleetConfig, from: UpdateSource): void {
+  applyConfig(config: FleetConfig, from: UpdateSource): void {
     if (config.version <= this.configVersion) return
     // A box that runs an earlier release omits which organisation holds which key.
-    if (!Array.isArray(config.organisations)) return void this.readNamed(config.version)
-    const {post, learned, log} = this.options_
+    if (!Array.isArray(config.organisations))
+      return void this.readAnnounced(config.version)
+    const {post, onUpdate: learned, log} = this.options_
     this.config_ = config
     log("config-applied", {version: config.version, routes: config.routes.length, from})
     post({type: "config", config})
@@ -83,14 +84,14 @@
   }
 
   /** Reads an announced configuration, or requests it from the leader if that fails. */
-  async readNamed(version: number): Promise<void> {
+  async readAnnounced(version: number): Promise<void> {
     this.announcedVersion_ = Math.max(this.announcedVersion_, version)
     if (version <= this.configVersion) return
     await pause(Math.random() * READ_JITTER_MS)
-    const {kv, records, log, askLeader} = this.options_
+    const {kv, records, log, requestConfig: askLeader} = this.options_
     try {
       const entry = await callAs(kv, {caller: "config-read"}).get(records.configKey)
-      if (entry) this.takeEntries([entry])
+      if (entry) this.applyEntries([entry])
     } catch (cause) {
       log("kv-trouble", {prefix: records.configKey, reason: (cause as Error).message})
     }
--- a/src/adapters/news-help.ts
+++ b/src/adapters/peer-snapshots.ts
@@ -18,7 +18,7 @@
  */
 const MAX_ADDRESSES = 24
 
-export class NewsHelp {
+export class PeerSnapshots {
   /** Addresses at which other boxes accept links, the most recently reported last. */
   private readonly addresses_ = new Set<string>()
 
@@ -28,7 +28,7 @@
   ) {}
 
   /** Adds addresses at which other boxes accept links. */
-  learn(addresses: readonly string[]): void {
+  addAddresses(addresses: readonly string[]): void {
     for (const address of addresses) {
       if (address === this.ownAddress_) continue
       this.addresses_.delete(address)
@@ -41,7 +41,7 @@
   }
 
   /** Returns the first snapshot that another box sends. Undefined if none does. */
-  async ask(request: StoreSnapshotRequest): Promise<StoreSnapshot | undefined> {
+  async fetch(request: StoreSnapshotRequest): Promise<StoreSnapshot | undefined> {
     const answers = this.selectBoxes().map(async address => {
       const snapshot = await this.request_(address, request, ANSWER_TIMEOUT_MS)
       if (!snapshot) throw new Error(`box ${address} sent no store snapshot`)
--- a/src/adapters/relay-exchange.ts
+++ b/src/adapters/relay-exchange.ts
@@ -43,7 +43,7 @@
   }
 
   /** Starts an attempt. Drops the partial answer of the last one. */
-  begin(attempt: number): void {
+  startAttempt(attempt: number): void {
     this.attempt = attempt
     this.abort = undefined
     this.head_ = undefined
@@ -52,7 +52,7 @@
   }
 
   /** Sends the head of a stream to the caller, unless an earlier attempt did. */
-  pass(closing: boolean): void {
+  sendHead(closing: boolean): void {
     const head = this.head_
     if (!head || !this.streaming || this.isHeadSent_) return
     this.isHeadSent_ = true
@@ -72,7 +72,7 @@
   }
 
   /** Buffers or sends bytes of the answer. Of a stream, only complete events are sent. */
-  take(chunk: Buffer): void {
+  handleChunk(chunk: Buffer): void {
     if (!this.isHeadSent_) {
       this.bodyParts_.push(chunk)
       return
@@ -106,8 +106,12 @@
   }
 
   /** Answers with an error of the box. Cuts the connection if an answer has begun. */
-  refuse(status: number, body: object, headers: Readonly<Record<string, string>>): void {
-    if (this.res.headersSent) return this.cut()
+  sendError(
+    status: number,
+    body: object,
+    headers: Readonly<Record<string, string>>
+  ): void {
+    if (this.res.headersSent) return this.closeConnection()
     const text = JSON.stringify(body)
     this.res.writeHead(status, {
       "content-type": "application/json",
@@ -118,7 +122,7 @@
   }
 
   /** Closes the caller's connection, so that a partial answer doesn't look complete. */
-  cut(): void {
+  closeConnection(): void {
     this.req.socket.destroy()
   }
 
--- a/src/adapters/routed-box.ts
+++ b/src/adapters/routed-box.ts
@@ -39,8 +39,8 @@
 import type {Log} from "./log.js"
 import {startLoop} from "./loop.js"
 import type {Metrics} from "./metrics.js"
-import {NewsHelp} from "./news-help.js"
-import {NewsSource} from "./news-source.js"
+import {PeerSnapshots} from "./peer-snapshots.js"
+import {SnapshotSource} from "./snapshot-source.js"
 import type {RunningProcess} from "./process.js"
 import {registerGauges, recordLogEvent} from "./routed-metrics.js"
 import {RoutedRelay} from "./routed-relay.js"
@@ -92,7 +92,7 @@
   private readonly incarnation_ = randomUUID()
   private readonly loop_
   private readonly relay_: RoutedRelay
-  private readonly snapshotSource_: NewsSource
+  private readonly snapshotSource_: SnapshotSource
   private readonly settledEra_: SettledEra
   private readonly driver_: EngineDriver
   private readonly election_: LeaderElection
@@ -100,7 +100,7 @@
   private readonly self_: LeaderRecord
   private readonly session_: LeaderSession
   private readonly leaderChannel_: LeaderChannel
-  private readonly peerSnapshots_: NewsHelp
+  private readonly peerSnapshots_: PeerSnapshots
   private readonly usageStore_: UsageStore
   private readonly crashStore_: CrashStore
   private hub_: BoxHub | undefined
@@ -131,7 +131,7 @@
       incarnation: this.incarnation_,
       address: settings.boxes
     }
-    this.peerSnapshots_ = new NewsHelp(settings.boxes)
+    this.peerSnapshots_ = new PeerSnapshots(settings.boxes)
     const draw = (): number => {
       const [value, next] = uniformFloat64(this.random_)
       this.random_ = next
@@ -186,23 +186,23 @@
       post,
       log
     })
-    this.snapshotSource_ = new NewsSource({
+    this.snapshotSource_ = new SnapshotSource({
       kv,
       records,
       post,
       log,
-      learned: message => {
+      onUpdate: message => {
         if (message.t === "config") this.applyLimits()
         this.hub_?.broadcastUpdate(message)
       },
       startedAt: clockNow(),
-      askLeader: () => this.session_.send({t: "ask-config"}),
-      askAll: () => {
+      requestConfig: () => this.session_.send({t: "ask-config"}),
+      requestFullUpdate: () => {
         const configVersion = this.snapshotSource_.config?.version ?? -1
         this.session_.send({t: "ask-all", configVersion})
       },
-      renewed: () => this.hub_?.sendStoreRead(clockNow()),
-      askBoxes: ask => this.requestSnapshot(ask),
+      onRenewed: () => this.hub_?.sendStoreRead(clockNow()),
+      fetchFromPeers: ask => this.requestSnapshot(ask),
       eras,
       settled: this.settledEra_
     })
@@ -249,7 +249,7 @@
       key: `${settings.store.prefix}crashes`,
       leads: () => this.mayGrant,
       list: () => serving.crashes.toMessages(clockNow()),
-      learned: records =>
+      onRead: records =>
         post({type: "crashes", changes: {records, cleared: []}, source: "store"}),
       log
     })
@@ -276,7 +276,7 @@
         suspended: () => log("lead-unconfirmed", {era: eras.era ?? -1}),
         confirmed: fence => {
           log("lead-confirmed", {fence, era: eras.era ?? -1})
-          this.crashStore_.begin()
+          this.crashStore_.resync()
         },
         leaderFound: leader => this.session_.follow(leader),
         boxCount: () => serving.boxCount,
@@ -286,11 +286,11 @@
         renewedByOthers: helped => log(helped ? "lease-helped" : "lease-own")
       }
     )
-    eras.listen((known, rose) => {
+    eras.onChange((known, rose) => {
       post({type: "era", known, restored: rose})
       if (!rose) return
       this.election_.suspend()
-      this.crashStore_.begin()
+      this.crashStore_.resync()
     })
   }
 
@@ -335,7 +335,7 @@
         settled: this.settledEra_,
         leader: () => (this.isLeading ? this.self_ : this.session_.leader),
         addressesLearned: (addresses: readonly string[]) =>
-          this.peerSnapshots_.learn(addresses),
+          this.peerSnapshots_.addAddresses(addresses),
         log
       }
       this.hub_ = new BoxHub(options, resolve, reject)
@@ -362,7 +362,7 @@
       await new Promise(resolve => setTimeout(resolve, STOP_CHECK_MS))
     }
     this.loop_.post({type: "usage-close"})
-    await this.usageStore_.settle(MAX_USAGE_SAVE_MS)
+    await this.usageStore_.waitForSaves(MAX_USAGE_SAVE_MS)
     await this.election_.stop()
     while (clockNow() < deadline) {
       const idle = this.relay_.openRequests === 0 && clockNow() >= listenUntil
@@ -391,7 +391,7 @@
     const leading = this.election_.leadership.fence !== undefined
     this.session_.tick(now, leading)
     this.election_.setLinked(this.session_.linked)
-    this.snapshotSource_.choose(leading, now)
+    this.snapshotSource_.selectSource(leading, now)
     this.closeUnusedPools()
     if (leading) {
       this.settledEra_.settleIfDue(now)
@@ -432,7 +432,7 @@
     if (known === this.pooledFor_) return
     this.pooledFor_ = known
     const ids = [...known.keys()]
-    this.relay_.pools.keep(new Set([...ids, ...ids.map(orderPool)]))
+    this.relay_.pools.retainOnly(new Set([...ids, ...ids.map(orderPool)]))
   }
 
   private fence(): number | undefined {
@@ -449,7 +449,7 @@
     this.loop_.post({type: "lead"})
     this.loop_.post({type: "orders", hasLeader: true, inMs: Math.max(0, waitMs)})
     this.loop_.post({type: "leader-new"})
-    this.crashStore_.begin()
+    this.crashStore_.resync()
     this.applyLimits()
   }
 
@@ -469,7 +469,7 @@
   private async requestSnapshot(
     request: StoreSnapshotRequest
   ): Promise<StoreSnapshot | undefined> {
-    const snapshot = await this.peerSnapshots_.ask(request)
+    const snapshot = await this.peerSnapshots_.fetch(request)
     if (
       snapshot?.leader &&
       snapshot.leader.incarnation !== this.incarnation_ &&
--- a/src/adapters/routed-metrics.ts
+++ b/src/adapters/routed-metrics.ts
@@ -7,7 +7,7 @@
 import type {RoutedState} from "../core/serving-fleet.js"
 import {clockNow} from "./clock.js"
 import type {Metrics} from "./metrics.js"
-import type {NewsSource} from "./news-source.js"
+import type {SnapshotSource} from "./snapshot-source.js"
 
 /** Upper bound of the reported snapshot age; also reported if there is no snapshot. */
 const MAX_REPORTED_AGE_MS = 3_600_000
@@ -15,7 +15,7 @@
 /** The parts of a box from which its gauges are read. */
 export interface GaugeSources {
   readonly state: () => RoutedState
-  readonly snapshotSource: NewsSource
+  readonly snapshotSource: SnapshotSource
   /** Era of the key-value service. Undefined if the service reports none. */
   readonly era: () => number | undefined
   readonly openRequests: () => number
--- a/src/adapters/routed-relay.ts
+++ b/src/adapters/routed-relay.ts
@@ -106,13 +106,13 @@
       })
     if (body === "too-large") {
       logRefusal("body-too-large")
-      return answer.refuse(413, problem("body-too-large"), own)
+      return answer.sendError(413, problem("body-too-large"), own)
     }
     const retry = String(NO_CONFIG_RETRY_S)
     if (!currentTable) {
       logRefusal("no-configuration")
       const headers = {...own, "retry-after": retry}
-      return answer.refuse(503, problem("no-configuration"), headers)
+      return answer.sendError(503, problem("no-configuration"), headers)
     }
     const route = findRoute(currentTable, req.headers.host ?? "", req.url ?? "/")
     const service = route && drawService(route, this.options_.random())
@@ -120,15 +120,18 @@
       // A stale table does not prove that the route is missing: the route may be new.
       const current = isConfigCurrent(this.options_.serving(), clockNow())
       logRefusal(current ? "no-route" : "no-route-yet")
-      if (current) return answer.refuse(404, problem("no-route"), own)
-      return answer.refuse(503, problem("no-route-yet"), {...own, "retry-after": retry})
+      if (current) return answer.sendError(404, problem("no-route"), own)
+      return answer.sendError(503, problem("no-route-yet"), {
+        ...own,
+        "retry-after": retry
+      })
     }
     const access = checkAccess(serving, route, facts.key, clockNow())
     if (!access.granted) {
       const status = ACCESS_STATUS[access.reason]
       logRefusal(access.reason)
       const headers = status === 503 ? {...own, "retry-after": retry} : own
-      return answer.refuse(status, problem(access.reason), headers)
+      return answer.sendError(status, problem(access.reason), headers)
     }
     const {organisation} = access
     const streaming = route.kind === "streaming"
@@ -197,7 +200,7 @@
         this.send(exchange, effect)
         return true
       case "pass":
-        exchange.pass(this.options_.isStopping())
+        exchange.sendHead(this.options_.isStopping())
         return true
       case "discard":
         // Reading the answer to its end allows the connection to be reused.
@@ -214,7 +217,7 @@
         return true
       case "cut":
         this.exchanges_.delete(exchange.id)
-        exchange.cut()
+        exchange.closeConnection()
         return true
       default:
         return false
@@ -228,7 +231,7 @@
     const {lastEventId} = exchange
     const {dialect, post, serving} = this.options_
     const {table, boxCount: boxes} = serving()
-    exchange.begin(attempt)
+    exchange.startAttempt(attempt)
     const current = (): boolean => exchange.attempt === attempt
     const arrival = serving().requests.get(id)?.arrival
     const headers = dialect.writeRequest(stripHop(exchange.req.rawHeaders), {
@@ -302,7 +305,7 @@
         },
         data: chunk => {
           if (!current()) return
-          exchange.take(chunk)
+          exchange.handleChunk(chunk)
           const now = clockNow()
           if (now - reportedAt < PROGRESS_INTERVAL_MS) return
           reportedAt = now
@@ -336,7 +339,7 @@
     if (RETRYABLE_REASONS.has(reason))
       headers["retry-after"] = (retryAfterMs / 1000).toFixed(2)
     if (this.options_.isStopping()) headers.connection = "close"
-    exchange.refuse(END_STATUS[reason], problem(reason), headers)
+    exchange.sendError(END_STATUS[reason], problem(reason), headers)
   }
 
   private handleCallerDisconnect(exchange: RelayExchange): void {
--- a/src/adapters/settled-era.ts
+++ b/src/adapters/settled-era.ts
@@ -48,7 +48,7 @@
   }
 
   /** Whether the servers that this box reads may come from restored entries. */
-  isDoubted(now: number): boolean {
+  mayReadRestoredEntries(now: number): boolean {
     return now < this.restoredEntriesUntil_
   }
 
@@ -56,7 +56,7 @@
   settleIfDue(now: number): void {
     const {known} = this.options_.eras
     if (!known || !this.checked_ || this.writing_) return
-    if (known.era === this.settled_ || this.isDoubted(now)) return
+    if (known.era === this.settled_ || this.mayReadRestoredEntries(now)) return
     if (known.restored && now - known.begunBy < RESTORED_ENTRY_MS) return
     this.writing_ = true
     void this.settle(known.era).finally(() => (this.writing_ = false))
--- a/src/adapters/news-source.ts
+++ b/src/adapters/snapshot-source.ts
@@ -32,29 +32,31 @@
   toBackendEvents,
   LeaderBackendList
 } from "./leader-backends.js"
-import {OperatorNews, type OperatorNewsOptions} from "./operator-news.js"
+import {OperatorState, type OperatorStateOptions} from "./operator-state.js"
 import type {StoreEras} from "./era-source.js"
 import type {SettledEra} from "./settled-era.js"
-import {listForOthers, type Listing, StoreFollower} from "./store-follower.js"
+import {listForPeers, type Listing, StoreFollower} from "./store-follower.js"
 import type {StorePosition} from "../types/store-position.js"
 
 /** Time for a starting box to find a leader before it reads the store itself. */
 const LEADER_SEARCH_MS = 600
 
-export interface NewsOptions extends OperatorNewsOptions {
+export interface SnapshotSourceOptions extends OperatorStateOptions {
   /** Called when a read by this box or by one that it asked renewed the snapshot. */
-  readonly renewed: () => void
+  readonly onRenewed: () => void
   /** When the process started, by the clock of `selectSource`. */
   readonly startedAt: number
   /** Requests a full update from the leader. */
-  readonly askAll: () => void
+  readonly requestFullUpdate: () => void
   /** Asks other boxes to read the store. Undefined if none could. */
-  readonly askBoxes: (request: StoreSnapshotRequest) => Promise<StoreSnapshot | undefined>
+  readonly fetchFromPeers: (
+    request: StoreSnapshotRequest
+  ) => Promise<StoreSnapshot | undefined>
   readonly eras: StoreEras
   readonly settled: SettledEra
 }
 
-export class NewsSource {
+export class SnapshotSource {
   private follower_: StoreFollower | undefined
   /** Whether the follower also watches the store between two lists. */
   private watches_ = false
@@ -77,12 +79,12 @@
   private mustReread_ = false
   private pendingRead_: Promise<void> | undefined
   private readonly leaderBackends_ = new LeaderBackendList()
-  private readonly operatorState_: OperatorNews
+  private readonly operatorState_: OperatorState
   private readonly reader_: EntryReader
 
-  constructor(private readonly options_: NewsOptions) {
+  constructor(private readonly options_: SnapshotSourceOptions) {
     this.reader_ = new EntryReader(options_.records, options_.log)
-    this.operatorState_ = new OperatorNews(options_, this.reader_)
+    this.operatorState_ = new OperatorState(options_, this.reader_)
   }
 
   /** Number of keys whose entries could not be parsed at the last read. */
@@ -103,18 +105,20 @@
    * Age of the newest read by this box, or by another at its request. Infinity if that
    * may have returned restored entries.
    */
-  ownAgeMs(now: number): number {
-    if (this.options_.settled.isDoubted(now)) return Infinity
+  readAgeMs(now: number): number {
+    if (this.options_.settled.mayReadRestoredEntries(now)) return Infinity
     return now - this.snapshotAge_.readAt
   }
 
   /** Age of the configuration, whichever box read it. Infinity as for `readAgeMs`. */
   configAgeMs(now: number): number {
-    return this.options_.settled.isDoubted(now) ? Infinity : now - this.configReadAt_
+    return this.options_.settled.mayReadRestoredEntries(now)
+      ? Infinity
+      : now - this.configReadAt_
   }
 
   /** Handles the ages of the leader's snapshot and configuration. */
-  heardLeader(ageMs: number, configAgeMs: number, now: number): void {
+  handleLeaderAges(ageMs: number, configAgeMs: number, now: number): void {
     this.hasLeaderUpdate_ = true
     if (this.mustReread_) return
     // If a newer configuration was announced but is not read yet, the age is not that of
@@ -137,7 +141,7 @@
   }
 
   /** Starts or stops reading the store. A leader always reads it. */
-  choose(leading: boolean, now: number): void {
+  selectSource(leading: boolean, now: number): void {
     if (leading) this.startFollowing(true, now)
     else if (!this.mustReread_ && hasFreshLeaderRead(this.snapshotAge_, now))
       this.trustLeader()
@@ -165,7 +169,7 @@
     // The leader sends deltas to its earlier updates, some of which this box's own reads
     // may have undone.
     if (this.leaderBackends_.hasDiverged || this.trouble_ !== "none")
-      this.options_.askAll()
+      this.options_.requestFullUpdate()
     this.trouble_ = "none"
   }
 
@@ -188,8 +192,8 @@
       {
         list: (prefix, listing) => this.applyListing(prefix, listing),
         change: (prefix, change) => this.applyChange(prefix, change),
-        trouble: (prefix, reason) => this.recordFailure(prefix, reason),
-        cut: (prefix, reason) => log("kv-watch-cut", {prefix, reason})
+        listFailed: (prefix, reason) => this.recordFailure(prefix, reason),
+        watchFailed: (prefix, reason) => log("kv-watch-cut", {prefix, reason})
       }
     )
   }
@@ -206,9 +210,10 @@
       post({type: "backends", ...listed, reading: {source: "store", readAt: askedAt}})
       // This read was for another box. The leader sends deltas only, so it would not
       // resend the servers that this list removed.
-      if (!this.follower_ && this.leaderBackends_.hasDiverged) this.options_.askAll()
+      if (!this.follower_ && this.leaderBackends_.hasDiverged)
+        this.options_.requestFullUpdate()
     } else {
-      this.operatorState_.takeEntries(entries)
+      this.operatorState_.applyEntries(entries)
       this.recordConfigRead(askedAt)
     }
     this.listedAt_.set(prefix, askedAt)
@@ -248,7 +253,7 @@
     this.snapshotAge_ = recordRead(this.snapshotAge_, at)
     this.mustReread_ = false
     this.options_.post({type: "news", at, read: true})
-    this.options_.renewed()
+    this.options_.onRenewed()
   }
 
   private recordFailure(prefix: string, reason: string): void {
@@ -269,7 +274,7 @@
   private requestPeerSnapshot(now: number): void {
     this.recordOutage(now)
     if (this.trouble_ === "store") this.releaseRequests(now)
-    if (now < this.nextPeerReadAt_ || this.ownAgeMs(now) < LIST_INTERVAL_MS) return
+    if (now < this.nextPeerReadAt_ || this.readAgeMs(now) < LIST_INTERVAL_MS) return
     this.nextPeerReadAt_ = now + peerReadPauseMs(this.failedPeerReads_)
     this.failedPeerReads_++
     void this.fetchPeerSnapshot(now)
@@ -282,7 +287,7 @@
   }
 
   private async fetchPeerSnapshot(askedAt: number): Promise<void> {
-    const {askBoxes, eras, post, log} = this.options_
+    const {fetchFromPeers: askBoxes, eras, post, log} = this.options_
     const snapshot = await askBoxes({
       t: "ask-news",
       configVersion: this.operatorState_.configVersion,
@@ -290,7 +295,7 @@
     })
     if (!this.follower_ || !snapshot) return
     this.failedPeerReads_ = 0
-    if (snapshot.storeEra) eras.hear(snapshot.storeEra)
+    if (snapshot.storeEra) eras.handleReport(snapshot.storeEra)
     const {ageMs, records, config, versions} = snapshot
     const at = askedAt - ageMs
     if (at <= this.snapshotAge_.readAt) return
@@ -301,9 +306,9 @@
     }
     this.leaderBackends_.compareWith(records)
     post({type: "backends", records, reading: {source: "box", readAt: at}})
-    if (config) this.operatorState_.takeConfig(config, "box")
+    if (config) this.operatorState_.applyConfig(config, "box")
     this.recordConfigRead(askedAt - (snapshot.configAgeMs ?? Infinity))
-    this.operatorState_.takeVersions(versions)
+    this.operatorState_.applyVersions(versions)
     this.recordStoreRead(at)
   }
 
@@ -314,7 +319,7 @@
    */
   async refresh(requesterAgeMs: number): Promise<void> {
     const now = clockNow()
-    if (this.options_.settled.isDoubted(now))
+    if (this.options_.settled.mayReadRestoredEntries(now))
       throw new KvUnavailable("this box may read restored entries")
     if (isNewerSnapshot(this.ageMs(now), requesterAgeMs)) return
     if (this.follower_?.isFailing(now))
@@ -326,7 +331,7 @@
   private async readOnce(): Promise<void> {
     const {kv, records} = this.options_
     const prefixes = [records.operatorPrefix, records.backendPrefix]
-    const listings = await listForOthers(kv, prefixes)
+    const listings = await listForPeers(kv, prefixes)
     listings.forEach((listing, i) => this.applyListing(prefixes[i] ?? "", listing))
   }
 
@@ -334,7 +339,7 @@
     if (!this.options_.settled.isChecked) return
     const entry = value === undefined ? undefined : {key, value, revision, era}
     if (prefix !== this.options_.records.backendPrefix) {
-      if (entry) this.operatorState_.takeEntries([entry])
+      if (entry) this.operatorState_.applyEntries([entry])
       return
     }
     this.leaderBackends_.markDiverged()
@@ -344,16 +349,16 @@
   }
 
   /** Applies a store update of the leader. False for any other message. */
-  takeNews(message: FromLeader): boolean {
+  applyLeaderMessage(message: FromLeader): boolean {
     switch (message.t) {
       case "config":
-        this.operatorState_.takeConfig(message.config, "leader")
+        this.operatorState_.applyConfig(message.config, "leader")
         return true
       case "config-named":
-        void this.operatorState_.readNamed(message.version)
+        void this.operatorState_.readAnnounced(message.version)
         return true
       case "versions":
-        this.operatorState_.takeVersions(message.versions)
+        this.operatorState_.applyVersions(message.versions)
         return true
       case "backends":
         this.applyLeaderBackends(message)
--- a/src/adapters/store-calls.ts
+++ b/src/adapters/store-calls.ts
@@ -67,7 +67,7 @@
       })
       const text = await answer.body.text()
       const header = answer.headers[eraHeader]
-      const era = eras.place(Array.isArray(header) ? header[0] : header, sentAt)
+      const era = eras.resolveEra(Array.isArray(header) ? header[0] : header, sentAt)
       return {status: answer.statusCode, body: text === "" ? {} : JSON.parse(text), era}
     } catch (cause) {
       if (limit.hasExpired()) this.replacePool(pool)
--- a/src/adapters/store-follower.ts
+++ b/src/adapters/store-follower.ts
@@ -44,11 +44,11 @@
 export interface FollowerEvents {
   readonly list: (prefix: string, listing: Listing) => void
   readonly change: (prefix: string, change: KvChange) => void
-  readonly trouble: (prefix: string, reason: string) => void
+  readonly listFailed: (prefix: string, reason: string) => void
   /**
    * Called when a watch failed. The list that follows soon includes any missed changes.
    */
-  readonly cut: (prefix: string, reason: string) => void
+  readonly watchFailed: (prefix: string, reason: string) => void
 }
 
 /** Follows prefixes from its creation until `stop`. */
@@ -97,7 +97,7 @@
       } catch (cause) {
         if (signal.aborted) return
         this.failedPrefixes_.add(prefix)
-        this.events_.trouble(prefix, (cause as Error).message)
+        this.events_.listFailed(prefix, (cause as Error).message)
         failures++
         reason = "after-failure"
         await pause(backoffMs(failures, MIN_RETRY_PAUSE_MS, MAX_RETRY_PAUSE_MS))
@@ -153,7 +153,7 @@
         position = await kv.watch(prefix, position, handleChange, limit.signal, waitMs)
       } catch (cause) {
         if (signal.aborted) return true
-        this.events_.cut(prefix, (cause as Error).message)
+        this.events_.watchFailed(prefix, (cause as Error).message)
         await pause(Math.min(WATCH_FAILURE_PAUSE_MS, end - clockNow()))
         return false
       } finally {
@@ -206,7 +206,7 @@
 }
 
 /** Lists prefixes at the request of other boxes. Late pages are requested once more. */
-export function listForOthers(
+export function listForPeers(
   kv: KvStore,
   prefixes: readonly string[]
 ): Promise<Listing[]> {
--- a/src/adapters/usage-store.ts
+++ b/src/adapters/usage-store.ts
@@ -73,7 +73,7 @@
   }
 
   /** Waits until pending saves have ended, at most `limitMs`. */
-  async settle(limitMs: number): Promise<void> {
+  async waitForSaves(limitMs: number): Promise<void> {
     await Promise.race([this.pendingSave_, pause(limitMs)])
   }
 
--- a/test/clock.test.ts
+++ b/test/clock.test.ts
@@ -16,7 +16,7 @@
 
   constructor() {
     this.clock = new ProcessClock({
-      steady: () => this.monotonicMs,
+      monotonic: () => this.monotonicMs,
       timeOfDay: () => {
         this.between?.()
         this.between = undefined
--- a/test/snapshot-age.test.ts
+++ b/test/snapshot-age.test.ts
@@ -2,7 +2,7 @@
  * Age of a box's store snapshot, and requests to other boxes if it can't read the store.
  */
 import t from "tap"
-import {NewsHelp} from "../src/adapters/news-help.js"
+import {PeerSnapshots} from "../src/adapters/peer-snapshots.js"
 import {
   createSnapshotAge,
   hasFreshLeaderRead,
@@ -73,30 +73,30 @@
 
 t.test("a box asks a few others and takes the first snapshot", async t => {
   const asked: string[] = []
-  const help = new NewsHelp("self:1", address => {
+  const help = new PeerSnapshots("self:1", address => {
     asked.push(address)
     return Promise.resolve(address === "c:1" ? NEWS : undefined)
   })
-  t.equal(await help.ask(ASK), undefined, "no address is known")
-  help.learn(["self:1", "a:1", "b:1", "c:1"])
-  t.same(await help.ask(ASK), NEWS)
+  t.equal(await help.fetch(ASK), undefined, "no address is known")
+  help.addAddresses(["self:1", "a:1", "b:1", "c:1"])
+  t.same(await help.fetch(ASK), NEWS)
   t.same([...asked].sort(), ["a:1", "b:1", "c:1"], "not its own address")
 })
 
 t.test("without an answer there is no snapshot and no error", async t => {
-  const help = new NewsHelp("self:1", () => Promise.resolve(undefined))
-  help.learn(["a:1", "b:1"])
-  t.equal(await help.ask(ASK), undefined)
+  const help = new PeerSnapshots("self:1", () => Promise.resolve(undefined))
+  help.addAddresses(["a:1", "b:1"])
+  t.equal(await help.fetch(ASK), undefined)
 })
 
 t.test("of many boxes the latest addresses are remembered", async t => {
   const asked = new Set<string>()
-  const help = new NewsHelp("self:1", address => {
+  const help = new PeerSnapshots("self:1", address => {
     asked.add(address)
     return Promise.resolve(undefined)
   })
-  for (let i = 0; i < 500; i++) help.learn([`box-${i}:1`])
-  for (let i = 0; i < 200; i++) await help.ask(ASK)
+  for (let i = 0; i < 500; i++) help.addAddresses([`box-${i}:1`])
+  for (let i = 0; i < 200; i++) await help.fetch(ASK)
   t.ok(asked.size <= 24)
   t.ok([...asked].every(address => Number(/\d+/.exec(address)?.[0]) >= 476))
 })
--- a/test/news-source.test.ts
+++ b/test/snapshot-source.test.ts
@@ -7,7 +7,10 @@
 import {stepRouted} from "../src/core/serving.js"
 import type {RoutedState} from "../src/core/serving-fleet.js"
 import {clockNow} from "../src/adapters/clock.js"
-import {type NewsOptions, NewsSource} from "../src/adapters/news-source.js"
+import {
+  type SnapshotSourceOptions,
+  SnapshotSource
+} from "../src/adapters/snapshot-source.js"
 import {StoreEras} from "../src/adapters/era-source.js"
 import {SettledEra} from "../src/adapters/settled-era.js"
 import {StoreFollower} from "../src/adapters/store-follower.js"
@@ -34,7 +37,10 @@
 /**
  * Creates a source on a store. Its other calls have no effect unless `more` sets them.
  */
-function createSource(kv: unknown, more: Partial<NewsOptions> = {}): NewsSource {
+function createSource(
+  kv: unknown,
+  more: Partial<SnapshotSourceOptions> = {}
+): SnapshotSource {
   const eras = new StoreEras(() => undefined)
   const settled = new SettledEra({
     kv: kv as KvStore,
@@ -43,17 +49,17 @@
     post: () => undefined,
     log: () => undefined
   })
-  return new NewsSource({
+  return new SnapshotSource({
     kv: kv as KvStore,
     records: RECORDS,
     post: () => undefined,
     log: () => undefined,
-    learned: () => undefined,
+    onUpdate: () => undefined,
     startedAt: -10_000,
-    renewed: () => undefined,
-    askBoxes: () => Promise.resolve(undefined),
-    askLeader: () => undefined,
-    askAll: () => undefined,
+    onRenewed: () => undefined,
+    fetchFromPeers: () => Promise.resolve(undefined),
+    requestConfig: () => undefined,
+    requestFullUpdate: () => undefined,
     eras,
     settled,
     ...more
@@ -67,23 +73,23 @@
 // sent again.
 t.test("a box that returns to its leader's updates requests a full update", async t => {
   let asked = 0
-  const news = createSource(SILENT, {startedAt: 0, askAll: () => asked++})
-  news.choose(false, 1_000)
+  const news = createSource(SILENT, {startedAt: 0, requestFullUpdate: () => asked++})
+  news.selectSource(false, 1_000)
   t.equal(asked, 0, "without a leader it follows the store")
-  news.heardLeader(100, 100, 2_000)
-  news.choose(false, 2_010)
+  news.handleLeaderAges(100, 100, 2_000)
+  news.selectSource(false, 2_010)
   t.equal(asked, 1)
-  news.choose(false, 2_100)
+  news.selectSource(false, 2_100)
   t.equal(asked, 1, "once is enough")
-  news.choose(false, 9_000)
-  news.heardLeader(100, 100, 9_100)
-  news.choose(false, 9_110)
+  news.selectSource(false, 9_000)
+  news.handleLeaderAges(100, 100, 9_100)
+  news.selectSource(false, 9_110)
   t.equal(asked, 2, "and again after the next return")
 })
 
 /** Creates a source whose store calls are counted and never answered. */
 function createCountingSource(): {
-  readonly news: NewsSource
+  readonly news: SnapshotSource
   readonly listed: () => number
 } {
   let listed = 0
@@ -94,9 +100,9 @@
 
 t.test("a starting box waits briefly for a leader before it reads the store", async t => {
   const {news, listed} = createCountingSource()
-  news.choose(false, 500)
+  news.selectSource(false, 500)
   t.equal(listed(), 0)
-  news.choose(false, 700)
+  news.selectSource(false, 700)
   t.equal(listed(), 2, "both prefixes")
   news.stopFollowing()
 })
@@ -109,18 +115,18 @@
 t.test("the age of a leader's update counts from the leader's store read", async t => {
   const {news, listed} = createCountingSource()
   t.teardown(() => news.stopFollowing())
-  news.heardLeader(1_000, 1_000, 10_000)
-  news.choose(false, 10_000)
+  news.handleLeaderAges(1_000, 1_000, 10_000)
+  news.selectSource(false, 10_000)
   t.equal(listed(), 0, "still new enough")
-  news.choose(false, 10_000 + REFRESH_AGE_MS - 1_000)
+  news.selectSource(false, 10_000 + REFRESH_AGE_MS - 1_000)
   t.equal(listed(), 2)
 })
 
 t.test("the number of boxes does not change the wait for a silent leader", async t => {
   const {news, listed} = createCountingSource()
   t.teardown(() => news.stopFollowing())
-  news.heardLeader(0, 0, 10_000)
-  news.choose(false, 10_000 + REFRESH_AGE_MS)
+  news.handleLeaderAges(0, 0, 10_000)
+  news.selectSource(false, 10_000 + REFRESH_AGE_MS)
   t.equal(listed(), 2)
 })
 
@@ -145,8 +151,8 @@
     const follower = new StoreFollower(silent as unknown as KvStore, ["servers/"], true, {
       list: () => undefined,
       change: () => undefined,
-      trouble: () => undefined,
-      cut: () => undefined
+      listFailed: () => undefined,
+      watchFailed: () => undefined
     })
     await new Promise(resolve => setTimeout(resolve, 3_600))
     follower.stop()
@@ -203,12 +209,12 @@
     post: event => (state = stepRouted(state, event, performance.now()).state)
   })
   t.teardown(() => news.stopFollowing())
-  news.choose(false, performance.now())
+  news.selectSource(false, performance.now())
   await sleep(50)
-  news.heardLeader(0, 0, performance.now())
-  news.choose(false, performance.now())
+  news.handleLeaderAges(0, 0, performance.now())
+  news.selectSource(false, performance.now())
   refuses = false
-  news.choose(true, performance.now())
+  news.selectSource(true, performance.now())
   await sleep(50)
   t.ok(isUsable(serving.backends, "b"))
   servers = ["servers/a"]
@@ -245,26 +251,26 @@
   const {source, snapshotTimes, answers, answerAll} = createAnsweredSource()
   t.teardown(() => source.stopFollowing())
   const now = performance.now()
-  source.heardLeader(0, 0, now - 3_000)
+  source.handleLeaderAges(0, 0, now - 3_000)
   source.resume(now)
   // The update may have waited in the link's buffer during the pause.
-  source.heardLeader(100, 100, now)
+  source.handleLeaderAges(100, 100, now)
   t.same(snapshotTimes, [now - 3_000])
-  source.choose(false, now)
+  source.selectSource(false, now)
   t.equal(answers.length, 2, "it reads both prefixes")
   await answerAll()
   t.equal(snapshotTimes.length, 2)
   t.ok((snapshotTimes[1] ?? 0) >= now)
-  source.heardLeader(0, 0, now + 50)
+  source.handleLeaderAges(0, 0, now + 50)
   t.equal(snapshotTimes[2], now + 50)
 })
 
 t.test("a short process pause causes no store call", async t => {
   const {source, answers} = createAnsweredSource()
   const now = performance.now()
-  source.heardLeader(0, 0, now - 800)
+  source.handleLeaderAges(0, 0, now - 800)
   source.resume(now)
-  source.choose(false, now)
+  source.selectSource(false, now)
   t.equal(answers.length, 0)
 })
 
@@ -272,11 +278,11 @@
   const {source, snapshotTimes} = createAnsweredSource()
   t.teardown(() => source.stopFollowing())
   const now = performance.now()
-  source.heardLeader(0, 0, now - 3_000)
+  source.handleLeaderAges(0, 0, now - 3_000)
   source.resume(now)
-  source.choose(false, now)
+  source.selectSource(false, now)
   t.same(snapshotTimes, [now - 3_000], "its lists are pending and not late yet")
-  source.choose(false, now + 200)
+  source.selectSource(false, now + 200)
   t.equal(snapshotTimes.at(-1), now + 200)
 })
 
@@ -314,21 +320,24 @@
     return found ?? RECORDS.readBackend({key, value: "", revision: 0})
   }
   const records = {...RECORDS, readBackend}
-  const news = createSource({list}, {records, startedAt: 0, askAll: () => asked++})
+  const news = createSource(
+    {list},
+    {records, startedAt: 0, requestFullUpdate: () => asked++}
+  )
   return {news, asked: () => asked}
 }
 
 /** Lets a box read the store itself, then return to its leader's updates. */
 async function leaveAndReturn(
-  news: NewsSource,
+  news: SnapshotSource,
   at: number,
   between: () => void = () => undefined
 ): Promise<void> {
-  news.choose(false, at)
+  news.selectSource(false, at)
   await sleep(20)
   between()
-  news.heardLeader(100, 100, at + 100)
-  news.choose(false, at + 110)
+  news.handleLeaderAges(100, 100, at + 100)
+  news.selectSource(false, at + 110)
 }
 
 // All boxes change to a new leader within half a second. If each gets the full update
@@ -336,7 +345,7 @@
 // its renewals wait behind these messages, and so does the next leader.
 t.test("a box that just received a full update does not request another", async t => {
   const {news, asked} = createListing(() => [SERVER])
-  await leaveAndReturn(news, 2_000, () => news.takeNews(fullUpdate([SERVER])))
+  await leaveAndReturn(news, 2_000, () => news.applyLeaderMessage(fullUpdate([SERVER])))
   t.equal(asked(), 0, "it has read no list since")
 })
 
@@ -347,21 +356,27 @@
   async t => {
     let servers = [SERVER]
     const {news, asked} = createListing(() => servers)
-    news.takeNews(fullUpdate(servers))
+    news.applyLeaderMessage(fullUpdate(servers))
     await leaveAndReturn(news, 3_000)
     t.equal(asked(), 0, "its list equals its leader's")
     const other = {...SERVER, id: "s2", server: "s2"}
     servers = [SERVER, other]
     await leaveAndReturn(news, 6_000)
     t.equal(asked(), 1, "its list had a server that the leader did not send")
-    news.takeNews(fullUpdate(servers))
+    news.applyLeaderMessage(fullUpdate(servers))
     await leaveAndReturn(news, 9_000)
     t.equal(asked(), 1)
     servers = [SERVER]
     await leaveAndReturn(news, 12_000)
     t.equal(asked(), 2, "its list lacked a server that the leader sent")
-    news.takeNews(fullUpdate([SERVER, other]))
-    news.takeNews({t: "backends", records: [], whole: false, gone: ["s2"], ageMs: 0})
+    news.applyLeaderMessage(fullUpdate([SERVER, other]))
+    news.applyLeaderMessage({
+      t: "backends",
+      records: [],
+      whole: false,
+      gone: ["s2"],
+      ageMs: 0
+    })
     await leaveAndReturn(news, 15_000)
     t.equal(asked(), 2, "its leader had sent that the server is gone")
     servers = [{...SERVER, leaving: true, revision: 2}]
@@ -373,12 +388,12 @@
 t.test("a box requests a full update after store failures in any case", async t => {
   let asked = 0
   const failing = {list: () => Promise.reject(new KvRefused("the store answered 503"))}
-  const news = createSource(failing, {startedAt: 0, askAll: () => asked++})
-  news.choose(false, 1_000)
+  const news = createSource(failing, {startedAt: 0, requestFullUpdate: () => asked++})
+  news.selectSource(false, 1_000)
   await sleep(20)
-  news.takeNews(fullUpdate([]))
-  news.heardLeader(100, 100, 2_000)
-  news.choose(false, 2_010)
+  news.applyLeaderMessage(fullUpdate([]))
+  news.handleLeaderAges(100, 100, 2_000)
+  news.selectSource(false, 2_010)
   t.equal(asked, 1, "unconfirmed servers may have expired on this box alone")
 })
 
@@ -388,9 +403,9 @@
   let asked = 0
   const list = (): Promise<unknown> => Promise.resolve({entries: [], revision: 1})
   const get = (): Promise<unknown> => Promise.resolve(undefined)
-  const news = createSource({list, get}, {startedAt: 0, askAll: () => asked++})
-  news.heardLeader(5_000, 5_000, clockNow())
-  news.takeNews({
+  const news = createSource({list, get}, {startedAt: 0, requestFullUpdate: () => asked++})
+  news.handleLeaderAges(5_000, 5_000, clockNow())
+  news.applyLeaderMessage({
     t: "backends",
     records: [SERVER],
     whole: true,
--- a/test/store-counter.test.ts
+++ b/test/store-counter.test.ts
@@ -134,8 +134,8 @@
   const follower = new StoreFollower(kv, ["a/"], true, {
     list: () => undefined,
     change: () => undefined,
-    trouble: () => undefined,
-    cut: () => undefined
+    listFailed: () => undefined,
+    watchFailed: () => undefined
   })
   t.teardown(() => follower.stop())
   await until("a regular list", () => lists >= 4, LIST_INTERVAL_MS * 4)
--- a/test/store-eras.test.ts
+++ b/test/store-eras.test.ts
@@ -107,11 +107,11 @@
 
 t.test("an answer to a call from before the rise is not taken", async t => {
   const eras = new StoreEras(() => undefined)
-  eras.place("1", 0)
+  eras.resolveEra("1", 0)
   const sentAt = performance.now()
   await sleep(5)
-  eras.place("2", performance.now())
-  t.throws(() => eras.place("1", sentAt), KvUnknown)
+  eras.resolveEra("2", performance.now())
+  t.throws(() => eras.resolveEra("1", sentAt), KvUnknown)
 })
 
 t.test("a watch that another era answers fails, and so do pages of two eras", async t => {
@@ -141,12 +141,12 @@
 t.test("another box's word of an era counts with its age", async t => {
   const eras = new StoreEras(() => undefined)
   const rises: boolean[] = []
-  eras.listen((_, rose) => rises.push(rose))
-  eras.place("3", performance.now())
-  eras.hear({era: 3, ageMs: 60_000, risen: false})
-  t.ok((eras.tell(performance.now())?.ageMs ?? 0) >= 60_000)
-  eras.hear({era: 4, ageMs: 500, risen: true})
-  eras.hear({era: 3, ageMs: 0, risen: true})
+  eras.onChange((_, rose) => rises.push(rose))
+  eras.resolveEra("3", performance.now())
+  eras.handleReport({era: 3, ageMs: 60_000, risen: false})
+  t.ok((eras.report(performance.now())?.ageMs ?? 0) >= 60_000)
+  eras.handleReport({era: 4, ageMs: 500, risen: true})
+  eras.handleReport({era: 3, ageMs: 0, risen: true})
   t.match(eras.known, {era: 4, restored: true})
   t.same(rises, [false, false, true])
 })
--- a/test/store-follower.test.ts
+++ b/test/store-follower.test.ts
@@ -30,8 +30,8 @@
   const events: FollowerEvents = {
     list: () => undefined,
     change: () => undefined,
-    trouble: (_, reason) => seen.troubles.push(reason),
-    cut: (_, reason) => seen.cuts.push(reason)
+    listFailed: (_, reason) => seen.troubles.push(reason),
+    watchFailed: (_, reason) => seen.cuts.push(reason)
   }
   return new StoreFollower(store, [PREFIX], watches, events)
 }
