--- a/src/adapters/admin-process.ts
+++ b/src/adapters/admin-process.ts
@@ -19,7 +19,7 @@
 } from "./admin-routes.js"
 import {compactLog} from "./config-compact.js"
 import {ConfigSync} from "./config-sync.js"
-import {ChangeConflict, ChangeUnknown, ConfigWriter} from "./config-writer.js"
+import {ChangeConflict, ChangeOutcomeUnknown, ConfigWriter} from "./config-writer.js"
 import {sendProblem} from "./exchange.js"
 import {startOpsServer} from "./ops-server.js"
 import {PlatformMirror, type PlatformView} from "./platform-mirror.js"
@@ -62,7 +62,7 @@
     this.sync_ = new ConfigSync(kv, prefix, log, () => undefined)
     this.mirror_ = new PlatformMirror(kv, prefix, log, view => {
       this.view_ = view
-      this.sync_.want(view.generation)
+      this.sync_.catchUpTo(view.generation)
     })
     this.services_ = {
       sync: this.sync_,
@@ -132,7 +132,7 @@
       const problem = {...toProblem(cause), conflicts: cause.conflicts}
       return sendJson(res, problem.status, problem)
     }
-    if (cause instanceof ChangeUnknown) {
+    if (cause instanceof ChangeOutcomeUnknown) {
       const problem = {...toProblem(cause), operation: cause.operation}
       return sendJson(res, problem.status, problem)
     }
--- a/src/adapters/caller-server.ts
+++ b/src/adapters/caller-server.ts
@@ -14,7 +14,7 @@
   readonly headerTimeoutMs: number
   readonly bodyTimeoutMs: number
   /** Handles a request whose body is complete. */
-  readonly take: (req: IncomingMessage, res: ServerResponse, body: Buffer) => void
+  readonly handle: (req: IncomingMessage, res: ServerResponse, body: Buffer) => void
   /** Called before the body is read; throws to reject the request. */
   readonly check: (req: IncomingMessage) => void
 }
@@ -47,7 +47,7 @@
   try {
     options.check(req)
     const body = await readBody(req, options.maxBodyBytes)
-    if (body) options.take(req, res, body)
+    if (body) options.handle(req, res, body)
   } catch (cause) {
     const error = cause instanceof SedgeError ? cause : new SedgeError("bad-request")
     // The rest of the body is not read, so the connection cannot be reused.
--- a/src/adapters/config-sync.ts
+++ b/src/adapters/config-sync.ts
@@ -67,7 +67,7 @@
   }
 
   /** Reads the log until the given generation is in force. */
-  want(generation: number): void {
+  catchUpTo(generation: number): void {
     if (generation <= this.config_.generation || generation <= this.targetGeneration_)
       return
     this.targetGeneration_ = generation
@@ -81,7 +81,7 @@
   }
 
   /** Applies a peer's answer, up to the first gap in its generations. */
-  takePage({changes, snapshot}: ConfigPage): void {
+  applyPage({changes, snapshot}: ConfigPage): void {
     if (snapshot && snapshot.generation > this.config_.generation) {
       this.recent_ = []
       this.setConfig(restoreSnapshot(snapshot.records, snapshot.generation))
--- a/src/adapters/config-writer.ts
+++ b/src/adapters/config-writer.ts
@@ -27,7 +27,7 @@
  * It is unknown whether a change was accepted. Looking up its operation id, or retrying
  * with it, resolves this.
  */
-export class ChangeUnknown extends SedgeError {
+export class ChangeOutcomeUnknown extends SedgeError {
   constructor(readonly operation: string) {
     super(
       "outcome-unknown",
@@ -129,13 +129,13 @@
       // The outcome stays unknown.
     }
     this.log_("change-unknown", {operation: change.operation})
-    throw new ChangeUnknown(change.operation)
+    throw new ChangeOutcomeUnknown(change.operation)
   }
 
   /** Notifies the watchers. If that fails, they find the log entry at their next poll. */
   private async publish(change: ConfigChange): Promise<AcceptedChange> {
     const {operation, generation, operator} = change
-    this.sync_.takePage({t: "config-page", changes: [change]})
+    this.sync_.applyPage({t: "config-page", changes: [change]})
     this.log_("change-accepted", {operation, generation, operator})
     await this.advanceHead(generation).catch(() => undefined)
     return {operation, generation}
--- a/src/adapters/engine-orders.ts
+++ b/src/adapters/engine-orders.ts
@@ -15,7 +15,7 @@
   /** Called in the same turn in which an unload is written to the socket. */
   readonly mayEvict: () => boolean
   /** Called when an unload was not sent because `mayEvict` returned false. */
-  readonly onGuarded: () => void
+  readonly onUnloadBlocked: () => void
 }
 
 const count = z.number().int().nonnegative()
@@ -43,11 +43,14 @@
   constructor(private readonly options_: OrderOptions) {
     this.unloadDispatcher_ = this.agent_.compose(
       dispatch => (opts, handler) =>
-        dispatch(opts, checkBeforeSend(handler, options_.mayEvict, options_.onGuarded))
+        dispatch(
+          opts,
+          checkBeforeSend(handler, options_.mayEvict, options_.onUnloadBlocked)
+        )
     )
   }
 
-  async give(target: OrderTarget, order: EngineOrder): Promise<OrderResult> {
+  async send(target: OrderTarget, order: EngineOrder): Promise<OrderResult> {
     try {
       return toResult(order, await this.call(target, order))
     } catch (cause) {
--- a/src/adapters/entry-process.ts
+++ b/src/adapters/entry-process.ts
@@ -22,7 +22,7 @@
 import {type Loop, startLoop} from "./loop.js"
 import {startOpsServer} from "./ops-server.js"
 import {PeerClient} from "./peer-links.js"
-import {describeLinks} from "./peer-setup.js"
+import {createLinkOptions} from "./peer-setup.js"
 import {KEYS, PlatformMirror} from "./platform-mirror.js"
 import type {ProcessContext, RunningProcess} from "./process.js"
 import {registerKey} from "./registration.js"
@@ -85,7 +85,7 @@
       this.loop_.post({type: "config", config})
     )
     this.peers_ = new PeerClient(
-      describeLinks(context_, this.sync_, {
+      createLinkOptions(context_, this.sync_, {
         up: ({incarnation: keeper}) => this.loop_.post({type: "link-up", keeper}),
         down: keeper => this.loop_.post({type: "link-down", keeper}),
         message: (from, message) =>
@@ -94,7 +94,7 @@
       })
     )
     this.mirror_ = new PlatformMirror(kv, prefix, log, view => {
-      this.sync_.want(view.generation)
+      this.sync_.catchUpTo(view.generation)
       this.linkKeepers([...view.keepers.values()].map(keeper => keeper.address))
       this.loop_.post({type: "shares", shares: view.shares})
     })
@@ -109,7 +109,7 @@
     this.server_ = createCallerServer({
       ...this.settings_,
       check: req => this.checkRequest(req),
-      take: (req, res, body) => this.handleRequest(req, res, body)
+      handle: (req, res, body) => this.handleRequest(req, res, body)
     })
   }
 
@@ -217,7 +217,9 @@
 
   /** Links to the listed keepers, or to those in the settings if the list is empty. */
   private linkKeepers(listed: readonly string[]): void {
-    this.peers_.want(new Set(listed.length > 0 ? listed : this.context_.settings.peers))
+    this.peers_.setAddresses(
+      new Set(listed.length > 0 ? listed : this.context_.settings.peers)
+    )
   }
 
   private describe(): object {
--- a/src/adapters/keeper-process.ts
+++ b/src/adapters/keeper-process.ts
@@ -20,7 +20,7 @@
 import {type Loop, startLoop} from "./loop.js"
 import {startOpsServer} from "./ops-server.js"
 import {PeerServer} from "./peer-links.js"
-import {describeLinks} from "./peer-setup.js"
+import {createLinkOptions} from "./peer-setup.js"
 import {KEYS, PlatformMirror} from "./platform-mirror.js"
 import {probeEntry} from "./probe.js"
 import type {ProcessContext, RunningProcess} from "./process.js"
@@ -84,7 +84,7 @@
       this.loop_.post({type: "config", config})
     )
     this.mirror_ = new PlatformMirror(kv, prefix, log, view => {
-      this.sync_.want(view.generation)
+      this.sync_.catchUpTo(view.generation)
       this.loop_.post({type: "shares", ...view})
     })
     const record = JSON.stringify({
@@ -103,7 +103,7 @@
       orderTimeoutMs: this.settings_.orderTimeoutMs,
       loadTimeoutMs: timing.loadTimeoutMs,
       mayEvict: () => holdsLease(this.loop_.state().ownership, clockNow()),
-      onGuarded: () => log("order-guarded")
+      onUnloadBlocked: () => log("order-guarded")
     })
   }
 
@@ -111,7 +111,7 @@
     const {settings, incarnation, metrics, log} = this.context_
     const {host, port} = splitAddress(this.settings_.listen)
     await new Promise<void>(resolve => {
-      this.server_ = new PeerServer(host, port, this.describeLinks(), resolve)
+      this.server_ = new PeerServer(host, port, this.createLinkOptions(), resolve)
     })
     await startOpsServer({
       ...splitAddress(this.settings_.ops),
@@ -131,8 +131,8 @@
     log("started", {listen: this.settings_.listen})
   }
 
-  private describeLinks() {
-    return describeLinks(this.context_, this.sync_, {
+  private createLinkOptions() {
+    return createLinkOptions(this.context_, this.sync_, {
       up: hello => this.loop_.post({type: "link-up", hello}),
       down: entry => this.loop_.post({type: "link-down", entry}),
       message: (from, message) =>
@@ -209,7 +209,7 @@
     const sentAt = clockNow()
     const server = findRecord(this.sync_.config, "backend", engine)?.value
     const result = server
-      ? await this.orders_.give({address: server.address, fence}, order)
+      ? await this.orders_.send({address: server.address, fence}, order)
       : ({ok: false, reason: "refused"} as const)
     this.loop_.post({type: "order-result", cell, engine, fence, order, sentAt, result})
   }
@@ -244,7 +244,7 @@
       this.loop_.post({type: "share-changed", change, result: {result}})
     }
     // The watch may lag, so the present owners are read at once.
-    await this.mirror_.list().catch(() => undefined)
+    await this.mirror_.refresh().catch(() => undefined)
   }
 
   private async openRegister(shard: string, fence: number): Promise<void> {
--- a/src/adapters/peer-links.ts
+++ b/src/adapters/peer-links.ts
@@ -168,7 +168,7 @@
   }
 
   /** Replaces the addresses to keep links to. */
-  want(addresses: ReadonlySet<string>): void {
+  setAddresses(addresses: ReadonlySet<string>): void {
     for (const [address, link] of [...this.linksByAddress_]) {
       if (addresses.has(address)) continue
       this.linksByAddress_.delete(address)
--- a/src/adapters/peer-setup.ts
+++ b/src/adapters/peer-setup.ts
@@ -3,7 +3,7 @@
 import {PROTOCOL_VERSION} from "../types/messages.js"
 import type {ConfigSync} from "./config-sync.js"
 import type {LinkOptions} from "./peer-links.js"
-import {type ProcessContext, takeConfigMessage} from "./process.js"
+import {type ProcessContext, handleConfigMessage} from "./process.js"
 
 export interface PeerHandlers {
   readonly up: (hello: Hello) => void
@@ -14,7 +14,7 @@
 }
 
 /** Returns the options of a process's links. */
-export function describeLinks(
+export function createLinkOptions(
   {settings, log, role, incarnation}: ProcessContext,
   sync: ConfigSync,
   handlers: PeerHandlers
@@ -40,7 +40,7 @@
         handlers.down(incarnation)
       },
       message: (from, message) => {
-        const isHandled = takeConfigMessage(sync, message, answer =>
+        const isHandled = handleConfigMessage(sync, message, answer =>
           handlers.send(from, answer)
         )
         if (!isHandled || message.t === "ping") handlers.message(from, message)
--- a/src/adapters/platform-mirror.ts
+++ b/src/adapters/platform-mirror.ts
@@ -48,7 +48,7 @@
     let failures = 0
     while (!this.abort_.signal.aborted) {
       try {
-        if (!listed) await this.list()
+        if (!listed) await this.refresh()
         listed = true
         await this.watch()
         failures = 0
@@ -69,7 +69,7 @@
   }
 
   /** Reads all watched keys at once, independent of the watch. */
-  async list(): Promise<void> {
+  async refresh(): Promise<void> {
     const watched = this.prefix_ + KEYS.watched
     const {entries, revision} = await this.kv_.list(watched)
     const present = new Set(entries.map(entry => entry.key))
--- a/src/adapters/process.ts
+++ b/src/adapters/process.ts
@@ -43,7 +43,7 @@
  * Handles messages that synchronise the configuration between peers. Returns false for
  * any other message.
  */
-export function takeConfigMessage(
+export function handleConfigMessage(
   sync: ConfigSync,
   message: PeerMessage,
   reply: (message: PeerMessage) => void
@@ -58,7 +58,7 @@
       reply(sync.pageAfter(message.after))
       return true
     case "config-page":
-      sync.takePage(message)
+      sync.applyPage(message)
       return true
     default:
       return false
