--- a/test/many-boxes.test.ts
+++ b/test/many-boxes.test.ts
@@ -1,4 +1,4 @@
-/** What is repeated and what is refused where the budget of repeats is shared by many boxes. */
+/** Retries and refusals when many boxes share one retry budget. */
 import t from "tap"
 import {type ManyBoxesOptions, playManyBoxes} from "./patterns/many-boxes.js"
 
@@ -14,12 +14,14 @@
   leaderLostAt: Infinity
 }
 
-/** Of a hundred requests of which every fifth send is turned away, this many may be refused. */
+/**
+ * Largest share of requests that may be refused when engines reject every fifth attempt.
+ */
 const REFUSED_SHARE = 0.01
 
 for (const seed of [1, 2, 3]) {
   t.test(
-    `callers are not refused while others' share of repeats is free, seed ${seed}`,
+    `callers are not refused while other boxes' share of retries is unused, seed ${seed}`,
     async t => {
       const {requests, refused, budgetUsed} = playManyBoxes({...LOAD, seed})
       t.comment(
@@ -31,9 +33,10 @@
   )
 }
 
-// It cannot know what the leader before it gave out, and begins with nothing to give.
+// A new leader has no record of what its predecessor granted, so it starts with no
+// retries to grant.
 t.test(
-  "a new leader's first ten seconds cost less than boxes by themselves do",
+  "a new leader refuses fewer requests in its first ten seconds than boxes alone",
   async t => {
     const {requests, refused} = playManyBoxes({...LOAD, seconds: 10, countFrom: 0})
     t.comment(`${refused} of ${requests} refused`)
@@ -41,7 +44,7 @@
   }
 )
 
-t.test("the budget is kept where engines turn away most of what comes", async t => {
+t.test("the budget is kept when engines reject most requests", async t => {
   const {requests, refused, budgetUsed} = playManyBoxes({...LOAD, turnedAway: 0.7})
   t.comment(
     `${refused} of ${requests} refused, ${budgetUsed.toFixed(2)} of the budget used`
@@ -49,7 +52,7 @@
   t.ok(budgetUsed < 1, `${budgetUsed.toFixed(2)} of the budget`)
 })
 
-t.test("without an answer of the leader a box still has a part of its own", async t => {
+t.test("without an answer from the leader a box still has a fallback share", async t => {
   const lost = {...LOAD, leaderLostAt: 11}
   const {requests, refused, budgetUsed} = playManyBoxes(lost)
   t.comment(
--- a/test/moved-demand.test.ts
+++ b/test/moved-demand.test.ts
@@ -1,12 +1,18 @@
-/** Where demand moves to adapters that one engine holds, while cold adapters are asked for all the time. */
+/**
+ * Placement when demand moves to adapters on one engine while requests for cold adapters
+ * continue.
+ */
 import t from "tap"
 import {playMovedDemand, SLOW_MS} from "./patterns/moved-demand.js"
 
-/** Of requests for adapters that have just become hot, so many may wait long: the copies take a while to come. */
+/**
+ * Share of requests for newly hot adapters that may be slow, because further loads take
+ * time.
+ */
 const SLOW_SHARE = 0.2
 
 for (const seed of [1, 2, 3]) {
-  t.test(`adapters that became hot get more engines, seed ${seed}`, async t => {
+  t.test(`newly hot adapters are loaded on more engines, seed ${seed}`, async t => {
     const {hot, slow, loads} = playMovedDemand({
       seed,
       engines: 98,
--- a/test/named-rate.test.ts
+++ b/test/named-rate.test.ts
@@ -1,4 +1,7 @@
-/** A rate that a server takes from all boxes together: what it gets at most and at least, whoever is cut off, killed or leads. */
+/**
+ * Upper and lower bounds of the requests that reach a server with an advertised rate
+ * limit for all boxes together, while boxes are cut off or killed and leaders change.
+ */
 import t from "tap"
 import {
   type NamedRateOptions,
@@ -8,12 +11,15 @@
 
 const RATES = [0.2, 1.2, 20, 400]
 
-/** Many boxes take long to play, and only where callers or the leader make a difference. */
+/**
+ * Many boxes take long to simulate and are used only in cases where callers or the leader
+ * make a difference.
+ */
 const FEW_BOXES = [9, 18, 83]
 const MANY_BOXES = [9, 18, 83, 195, 550]
-const PLAYED_WITH_MANY = new Set(["callers at all boxes"])
+const CASES_WITH_MANY_BOXES = new Set(["callers at all boxes"])
 
-const WAYS = ["allowances", "fixed parts", "few boxes"] as const
+const STRATEGIES = ["allowances", "fixed parts", "few boxes"] as const
 
 const CASES: Readonly<Record<string, Partial<NamedRateOptions>>> = {
   "callers at all boxes": {},
@@ -26,24 +32,29 @@
   "a third of the boxes is suspended": {suspendedAt: 8}
 }
 
-/** With a third cut off, boxes that reach no leader add half of their part of the rate, and whole requests. */
+/**
+ * With a third of the boxes cut off, boxes without a leader add half of their part of the
+ * rate, and whole requests.
+ */
 const CUT_SHARE = 0.2
 const CUT_REQUESTS = 2
 
-const tell = ({most, word, used, waitMs, messages}: NamedRateResult): string =>
+const describe = ({most, word, used, waitMs, messages}: NamedRateResult): string =>
   `most ${most} in 4 s of ${word.toFixed(1)}, used ${used.toFixed(2)}, ` +
   `95 in 100 waited ${waitMs.toFixed(0)} ms, ${messages.toFixed(2)} messages a box and second`
 
 for (const [name, more] of Object.entries(CASES)) {
-  t.test(`a server gets no more than its rate: ${name}`, async t => {
+  t.test(`a server receives no more than its advertised rate: ${name}`, async t => {
     for (const perSecond of RATES) {
-      for (const boxes of PLAYED_WITH_MANY.has(name) ? MANY_BOXES : FEW_BOXES) {
+      for (const boxes of CASES_WITH_MANY_BOXES.has(name) ? MANY_BOXES : FEW_BOXES) {
         const options = {seed: 1, way: "allowances" as const, boxes, perSecond, ...more}
         const result = playNamedRate(options)
-        t.comment(`${perSecond} a second, ${boxes} boxes: ${tell(result)}`)
-        const ownParts = more.cut ? Math.max(CUT_REQUESTS, CUT_SHARE * result.word) : 0
-        const word = Math.ceil(result.word) + ownParts
-        t.ok(result.most <= word, `${result.most} of ${word}`)
+        t.comment(`${perSecond} a second, ${boxes} boxes: ${describe(result)}`)
+        const fallbackShares = more.cut
+          ? Math.max(CUT_REQUESTS, CUT_SHARE * result.word)
+          : 0
+        const limit = Math.ceil(result.word) + fallbackShares
+        t.ok(result.most <= limit, `${result.most} of ${limit}`)
         const allowed = 1.5 * result.word + 5
         t.ok(
           result.mostAfterContact <= allowed,
@@ -54,14 +65,17 @@
   })
 }
 
-/** Of a rate, what is used at least where there is demand: little at a time is seldom asked for when it is there. */
+/**
+ * Smallest share of a rate that is used when there is demand. It is lower for low rates,
+ * because a box rarely requests an allowance at the time when one is available.
+ */
 const LEAST_USED = [
   {perSecond: 1.2, used: 0.6},
   {perSecond: 20, used: 0.85},
   {perSecond: 400, used: 0.85}
 ]
 
-t.test("what it takes is used where there is demand", async t => {
+t.test("the advertised rate is used when there is demand", async t => {
   for (const {perSecond, used} of LEAST_USED) {
     for (const boxes of FEW_BOXES) {
       for (const oneBoxShare of [0, 1]) {
@@ -73,22 +87,24 @@
           oneBoxShare
         }
         const result = playNamedRate({...options, demand: 6})
-        t.comment(`${perSecond} a second, ${boxes} boxes: ${tell(result)}`)
+        t.comment(`${perSecond} a second, ${boxes} boxes: ${describe(result)}`)
         t.ok(result.used >= used, `${result.used} used`)
       }
     }
   }
 })
 
-t.test("two other ways, to compare", async t => {
-  for (const way of WAYS) {
+t.test("other strategies for comparison", async t => {
+  for (const way of STRATEGIES) {
     for (const perSecond of RATES) {
       for (const oneBoxShare of [0, 1]) {
         const result = playNamedRate({seed: 1, way, boxes: 18, perSecond, oneBoxShare})
         const where = oneBoxShare === 1 ? "one box" : "all boxes"
-        t.comment(`${way}, ${perSecond} a second, callers at ${where}: ${tell(result)}`)
+        t.comment(
+          `${way}, ${perSecond} a second, callers at ${where}: ${describe(result)}`
+        )
       }
     }
   }
-  t.pass("told")
+  t.pass("results reported")
 })
--- a/test/patterns/agenda.ts
+++ b/test/patterns/agenda.ts
@@ -1,31 +1,34 @@
-/** A simulated clock: what is due happens in the order of its times, and nothing else moves time. */
+/**
+ * A simulated clock. Scheduled actions run in the order of their times and alone advance
+ * the time.
+ */
 
-interface Due {
+interface ScheduledAction {
   readonly at: number
   readonly act: () => void
 }
 
 export class Agenda {
   now = 0
-  /** Latest first. */
-  private readonly due_: Due[] = []
+  /** Sorted by time, the latest first. */
+  private readonly actions_: ScheduledAction[] = []
 
-  /** Has something happen so much later, milliseconds. */
+  /** Schedules an action to run after the given delay (ms). */
   later(ms: number, act: () => void): void {
     const due = {at: this.now + ms, act}
     let low = 0
-    let high = this.due_.length
+    let high = this.actions_.length
     while (low < high) {
       const middle = (low + high) >>> 1
-      if ((this.due_[middle] as Due).at > due.at) low = middle + 1
+      if ((this.actions_[middle] as ScheduledAction).at > due.at) low = middle + 1
       else high = middle
     }
-    this.due_.splice(low, 0, due)
+    this.actions_.splice(low, 0, due)
   }
 
-  /** Lets time pass until then. */
+  /** Runs all actions that are due by `end` and advances the time to it. */
   runUntil(end: number): void {
-    for (let due = this.due_.pop(); due && due.at <= end; due = this.due_.pop()) {
+    for (let due = this.actions_.pop(); due && due.at <= end; due = this.actions_.pop()) {
       this.now = due.at
       due.act()
     }
--- a/test/patterns/crashing-requests.ts
+++ b/test/patterns/crashing-requests.ts
@@ -1,11 +1,13 @@
 /**
- * A load pattern in one process, without a network: requests that crash each server that begins to run them,
- * among many that do not. The real core of each box runs under one simulated clock. What is counted is how
- * often guilty requests reach servers after their third crash, and how many others are refused as guilty.
+ * Load pattern in one process, without a network: requests that crash every server that
+ * runs them, among many harmless ones. The real core of each box runs under one simulated
+ * clock. The pattern counts how often guilty requests reach servers after their third
+ * crash, and how many other requests are refused as guilty.
  *
- * Grounds for the figures, from the incident's record: nine boxes before six servers of five slots; a guilty
- * request comes at random boxes some three times a second, runs for 100 ms before its server crashes, and the
- * server is back after 2 to 4 s; others take 40 to 300 ms. One in three of the others is the same as many.
+ * The figures come from an incident: nine boxes in front of six servers with five slots.
+ * A guilty request arrives at random boxes about three times per second and runs for 100
+ * ms before its server crashes; the server is back after 2 to 4 s. Other requests take 40
+ * to 300 ms, and one in three of them has the same content.
  */
 import {createBoxServing} from "../../src/core/box-state.js"
 import type {RoutedEffect, RoutedEvent} from "../../src/core/serving-events.js"
@@ -21,31 +23,36 @@
   readonly servers: number
   readonly perSecond: number
   readonly seconds: number
-  /** Requests that crash servers, and how often each comes a second. */
+  /** Number of distinct requests that crash servers. */
   readonly guilty: number
+  /** Arrivals per second of each guilty request. */
   readonly guiltyPerSecond: number
-  /** They come from then on, milliseconds. */
+  /** Time of the first guilty requests. */
   readonly guiltyFromMs: number
-  /** Each try of a guilty caller has a body of its own. */
+  /** Whether each attempt of a guilty caller has a different body. */
   readonly madeUp?: boolean
-  /** All connections of all boxes are reset at these times, milliseconds. */
+  /** Times at which all connections of all boxes are reset (ms). */
   readonly resetsAt?: readonly number[]
-  /** In this time nothing passes between boxes and their leader, milliseconds. */
+  /** Period without messages between boxes and their leader (ms). */
   readonly leaderAway?: readonly [from: number, to: number]
 }
 
 export interface CrashingResult {
   readonly crashes: number
-  /** The most that one guilty request reached servers later than `KNOWN_MS` after its third crash. */
+  /**
+   * Largest number of times that one guilty request reached a server more than
+   * `PROPAGATION_MS` after its third crash.
+   */
   readonly lateReaches: number
+  /** Number of requests that are not guilty. */
   readonly others: number
-  /** Others that were refused as guilty. */
+  /** Number of other requests that were refused as guilty. */
   readonly refused: number
-  /** The same in the last quarter of the time. */
+  /** `refused` in the last quarter of the simulated time. */
   readonly refusedAtEnd: number
-  /** The same of the request that is the same as many. */
+  /** `refused` of the popular request, whose content many callers send. */
   readonly popularRefused: number
-  /** The most records that a box held. */
+  /** Largest number of crash records in one box. */
   readonly records: number
 }
 
@@ -69,12 +76,13 @@
 const POPULAR_SHARE = 1 / 3
 const LINK_MS = 3
 const CRASH_AFTER_MS = 100
-const KNOWN_MS = 3_000
-/** A caller that got no whole answer comes back so often, after this, milliseconds. */
+/** Time within which a third crash must be known to all boxes. */
+const PROPAGATION_MS = 3_000
+/** Number of times that a caller sends a request until it receives a complete answer. */
 const TRIES = 3
-const COME_BACK_MS = 300
+const RETRY_DELAY_MS = 300
 
-/** A send that a server has taken. */
+/** An attempt that is running on a server. */
 interface Running {
   readonly box: number
   readonly id: string
@@ -82,7 +90,7 @@
 }
 
 interface Server {
-  life: number
+  incarnation: number
   up: boolean
   readonly running: Set<Running>
 }
@@ -113,19 +121,22 @@
   play(): CrashingResult {
     const {boxes, servers, guilty, guiltyFromMs, seconds, resetsAt = []} = this.options_
     for (let i = 0; i < servers; i++) {
-      this.servers_.push({life: 0, up: true, running: new Set()})
+      this.servers_.push({incarnation: 0, up: true, running: new Set()})
     }
     for (let i = 0; i < boxes; i++) this.startBox(i)
     this.step(0, {type: "lead"})
-    for (let i = 0; i < boxes; i++) this.tickLater(i)
-    this.arriveLater()
+    for (let i = 0; i < boxes; i++) this.scheduleTick(i)
+    this.scheduleArrival()
     this.agenda_.later(guiltyFromMs, () => {
-      for (let i = 0; i < guilty; i++) this.guiltyLater(`guilty-${i}`)
+      for (let i = 0; i < guilty; i++) this.scheduleGuiltyArrival(`guilty-${i}`)
     })
     for (const at of resetsAt) this.agenda_.later(at, () => this.resetAll())
     this.agenda_.runUntil(seconds * 1000)
     return {
-      crashes: [...this.crashedAt_.values()].reduce((sum, each) => sum + each.length, 0),
+      crashes: [...this.crashedAt_.values()].reduce(
+        (sum, times) => sum + times.length,
+        0
+      ),
       lateReaches: Math.max(0, ...this.lateReaches_.values()),
       others: this.others_,
       refused: this.refused_,
@@ -154,12 +165,12 @@
     this.step(index, {type: "backends", records, reading: {source: "store", readAt: now}})
   }
 
-  private recordOf({life}: Server, index: number): BackendRecord {
+  private recordOf({incarnation}: Server, index: number): BackendRecord {
     const server = `s-${index}`
     return {
-      id: `${server}~${life}`,
+      id: `${server}~${incarnation}`,
       server,
-      revision: life,
+      revision: incarnation,
       service: "s",
       address: `10.0.0.${index}:80`,
       dataCentre: `dc-${index % 3}`,
@@ -168,32 +179,32 @@
     }
   }
 
-  private tickLater(index: number): void {
+  private scheduleTick(index: number): void {
     const state = this.boxes_[index] as RoutedState
     this.agenda_.later(nextTickMs(state), () => {
       this.step(index, {type: "tick", mayOrder: false})
       this.records_ = Math.max(this.records_, state.serving.crashes.size)
-      this.tickLater(index)
+      this.scheduleTick(index)
     })
   }
 
-  private arriveLater(): void {
+  private scheduleArrival(): void {
     this.agenda_.later(
       (-Math.log(1 - this.draw_()) * 1000) / this.options_.perSecond,
       () => {
         this.others_++
         const own = `other-${this.others_}`
         this.send(this.draw_() < POPULAR_SHARE ? POPULAR : own, TRIES)
-        this.arriveLater()
+        this.scheduleArrival()
       }
     )
   }
 
-  private guiltyLater(name: string): void {
+  private scheduleGuiltyArrival(name: string): void {
     const waitMs = (-Math.log(1 - this.draw_()) * 1000) / this.options_.guiltyPerSecond
     this.agenda_.later(waitMs, () => {
       this.send(this.options_.madeUp ? `${name}-${this.requests_}` : name, 1)
-      this.guiltyLater(name)
+      this.scheduleGuiltyArrival(name)
     })
   }
 
@@ -226,7 +237,7 @@
     switch (effect.type) {
       case "send":
         return this.agenda_.later(LINK_MS, () =>
-          this.reach(box, effect.id, effect.attempt, effect.backend)
+          this.deliver(box, effect.id, effect.attempt, effect.backend)
         )
       case "probe": {
         const {id, server} = effect.backend
@@ -236,15 +247,15 @@
         )
       }
       case "crashes":
-        return this.tell(box, effect.changes)
+        return this.sendCrashReport(box, effect.changes)
       case "end":
-        return this.ended(effect.id, effect.reason)
+        return this.handleEnd(effect.id, effect.reason)
       default:
         return
     }
   }
 
-  private tell(
+  private sendCrashReport(
     box: number,
     changes: Extract<RoutedEffect, {type: "crashes"}>["changes"]
   ): void {
@@ -261,7 +272,10 @@
     }
   }
 
-  /** As the links are back, each box is told all. */
+  /**
+   * Whether messages between boxes and the leader are lost now. If so, schedules the full
+   * list for each box, which the leader sends when the links are back.
+   */
   private isLeaderAway(): boolean {
     const [from, to] = this.options_.leaderAway ?? [Infinity, Infinity]
     const {now} = this.agenda_
@@ -281,7 +295,12 @@
     return this.servers_[Number(name.slice(2))] as Server
   }
 
-  private reach(box: number, id: string, attempt: number, {server}: BackendRecord): void {
+  private deliver(
+    box: number,
+    id: string,
+    attempt: number,
+    {server}: BackendRecord
+  ): void {
     const target = this.serverOf(server)
     const fail = (failure: "broken" | "not-sent"): void =>
       this.step(box, {type: "failed", id, attempt, failure, lastEventId: undefined})
@@ -291,7 +310,7 @@
     const running = {box, id, attempt}
     target.running.add(running)
     if (fingerprint.startsWith("guilty")) {
-      this.countReach(fingerprint)
+      this.countDelivery(fingerprint)
       return this.agenda_.later(CRASH_AFTER_MS, () => {
         if (target.running.has(running)) this.crash(target, fingerprint)
       })
@@ -302,9 +321,9 @@
     })
   }
 
-  private countReach(fingerprint: string): void {
+  private countDelivery(fingerprint: string): void {
     const third = this.crashedAt_.get(fingerprint)?.[2]
-    if (third === undefined || this.agenda_.now <= third + KNOWN_MS) return
+    if (third === undefined || this.agenda_.now <= third + PROPAGATION_MS) return
     const before = this.lateReaches_.get(fingerprint) ?? 0
     this.lateReaches_.set(fingerprint, before + 1)
   }
@@ -316,7 +335,7 @@
     this.breakAll(server)
     this.agenda_.later(2_000 + 2_000 * this.draw_(), () => {
       server.up = true
-      server.life++
+      server.incarnation++
       for (let i = 0; i < this.boxes_.length; i++) this.listServers(i)
     })
   }
@@ -326,9 +345,9 @@
   }
 
   private breakAll(server: Server): void {
-    const cut = [...server.running]
+    const interrupted = [...server.running]
     server.running.clear()
-    for (const {box, id, attempt} of cut) {
+    for (const {box, id, attempt} of interrupted) {
       this.agenda_.later(LINK_MS, () =>
         this.step(box, {
           type: "failed",
@@ -341,7 +360,7 @@
     }
   }
 
-  private ended(id: string, reason: string): void {
+  private handleEnd(id: string, reason: string): void {
     const fingerprint = this.fingerprints_.get(id) ?? ""
     if (fingerprint.startsWith("guilty")) return
     if (reason === "crashes-servers") {
@@ -351,6 +370,6 @@
     }
     const tries = Number(id.slice(id.lastIndexOf(" ") + 1))
     if (tries > 1)
-      this.agenda_.later(COME_BACK_MS, () => this.send(fingerprint, tries - 1))
+      this.agenda_.later(RETRY_DELAY_MS, () => this.send(fingerprint, tries - 1))
   }
 }
--- a/test/patterns/fleet.ts
+++ b/test/patterns/fleet.ts
@@ -1,4 +1,7 @@
-/** What the load patterns share: a service of engines, its records and routes, and drawn numbers. */
+/**
+ * Shared by the load patterns: a service of engines, its records and route, and random
+ * numbers.
+ */
 import type {BackendRecord, FleetConfig, Route} from "../../src/types/fleet.js"
 import {createRandom, uniformFloat64} from "../../src/utils/random.js"
 
@@ -6,7 +9,7 @@
 export const MODEL = "base"
 export const DATA_CENTRES = 5
 
-/** A message between two boxes, one way, milliseconds. */
+/** One-way delay of a message between two boxes. */
 export const LINK_MS = 1.4
 
 export const ROUTE: Route = {
@@ -58,7 +61,7 @@
   }
 }
 
-/** Numbers in [0, 1) from a seed. */
+/** Returns a seeded generator of numbers in [0, 1). */
 export function drawFrom(seed: number): () => number {
   let random = createRandom(seed)
   return () => {
--- a/test/patterns/limit-ways.ts
+++ b/test/patterns/limit-ways.ts
@@ -1,6 +1,6 @@
 /**
- * Three ways to keep one limit over many boxes, behind one interface: the allowances that the boxes use, on
- * their real core, and two others to compare them with.
+ * Three strategies to keep one limit over many boxes, behind one interface: the
+ * allowances that boxes use, on their real core, and two others for comparison.
  */
 import type {UsageOptions} from "../../src/core/usage-limits.js"
 import {type LedgerEffect, UsageLedger} from "../../src/core/usage-ledger.js"
@@ -9,39 +9,41 @@
 import type {Agenda} from "./agenda.js"
 import {LINK_MS} from "./fleet.js"
 
-/** An answer of the key-value service, milliseconds. */
+/** Response time of the key-value service. */
 const STORE_MS = 4
 
-/** How often a box looks at its stock, milliseconds. */
+/** Interval at which a box checks its allowances. */
 export const TICK_MS = 100
 
 export interface WayOptions {
   readonly agenda: Agenda
   readonly boxes: number
   readonly usage: UsageOptions
-  /** Of each organisation in any window, overage and slack included. */
+  /** Limit of each organisation in any window, including overage and slack. */
   readonly limits: () => ReadonlyMap<string, number>
-  /** Whether a message passes between the box and the leader now. */
+  /** Whether messages between the box and the leader arrive now. */
   readonly reaches: (box: number) => boolean
 }
 
-/** One way to keep the limits. */
+/** A strategy to keep the limits. */
 export interface LimitWay {
-  /** Messages between boxes so far. */
+  /** Number of messages between boxes so far. */
   readonly messages: number
-  /** Whether a request may be sent now; undefined: the box has to wait to know. */
+  /**
+   * Whether a request may be sent now. Undefined while the box waits for an allowance.
+   */
   charge(box: number, organisation: string, amount: number): boolean | undefined
-  /** Once a tick; what waits at the box, by organisation. */
+  /** Called once per tick with the amounts that wait at the box, by organisation. */
   tick(box: number, waiting: ReadonlyMap<string, number>): void
-  /** The box forgets all. */
+  /** Discards the state of the box. */
   kill(box: number): void
-  /** The leader is another box, which knows nothing. */
+  /** Replaces the leader with one that has no state. */
   changeLeader(): void
-  /** Links are cut that no longer carry anything. */
+  /** Closes the link of a box from which no messages arrive. */
   dropLink(box: number): void
 }
 
-/** Sums of what was used in a window, by organisation. */
+/** Sliding-window usage sums by organisation. */
 class Windows {
   private readonly uses_ = new Map<string, {at: number; amount: number}[]>()
 
@@ -60,7 +62,10 @@
   }
 }
 
-/** Each box may use its part of the limit, whatever the others do; one that starts waits for a window. */
+/**
+ * Each box may use an equal part of the limit, whatever the others use. A box that starts
+ * waits for one window.
+ */
 export class FixedParts implements LimitWay {
   readonly messages = 0
   private readonly windows_: Windows[]
@@ -94,16 +99,21 @@
   dropLink(): void {}
 }
 
-/** How often boxes tell what they used, and are told what part of requests to refuse, milliseconds. */
+/**
+ * Interval at which boxes report their usage and receive the share of requests to admit.
+ */
 const ESTIMATE_MS = 1_000
 
-/** Boxes tell the leader what they used each second, and it tells each what part of requests to admit. */
+/**
+ * Boxes report their usage to the leader every second, and it replies with the share to
+ * admit.
+ */
 export class Estimates implements LimitWay {
   messages = 0
   private sums_: Windows
   private readonly used_: Map<string, number>[]
   private readonly admit_: Map<string, number>[]
-  private readonly toldAt_: number[]
+  private readonly reportedAt_: number[]
   private draws_ = 1
 
   constructor(private readonly options_: WayOptions) {
@@ -111,7 +121,10 @@
     this.sums_ = new Windows(usage.windowMs)
     this.used_ = Array.from({length: boxes}, () => new Map())
     this.admit_ = Array.from({length: boxes}, () => new Map())
-    this.toldAt_ = Array.from({length: boxes}, (_, box) => -(box * ESTIMATE_MS) / boxes)
+    this.reportedAt_ = Array.from(
+      {length: boxes},
+      (_, box) => -(box * ESTIMATE_MS) / boxes
+    )
   }
 
   charge(box: number, organisation: string, amount: number): boolean {
@@ -125,8 +138,8 @@
 
   tick(box: number): void {
     const {agenda, reaches, limits, usage} = this.options_
-    if (agenda.now - (this.toldAt_[box] ?? 0) < ESTIMATE_MS) return
-    this.toldAt_[box] = agenda.now
+    if (agenda.now - (this.reportedAt_[box] ?? 0) < ESTIMATE_MS) return
+    this.reportedAt_[box] = agenda.now
     if (!reaches(box)) return
     this.messages += 2
     const used = this.used_[box] as Map<string, number>
@@ -158,69 +171,69 @@
   dropLink(): void {}
 }
 
-/** The boxes' own way, on their real core. */
+/** The strategy that boxes use, on their real core. */
 export class Allowances implements LimitWay {
   messages = 0
   stored: UsageProjections = {}
-  private readonly stocks_: AllowancePool[]
+  private readonly pools_: AllowancePool[]
   private ledger_: UsageLedger | undefined
-  private leads_ = 0
+  private term_ = 0
 
   constructor(private readonly options_: WayOptions) {
-    this.stocks_ = Array.from({length: options_.boxes}, () => new AllowancePool())
-    this.lead()
+    this.pools_ = Array.from({length: options_.boxes}, () => new AllowancePool())
+    this.startTerm()
   }
 
   charge(box: number, organisation: string, amount: number): boolean | undefined {
     const {now} = this.options_.agenda
-    const stock = this.stocks_[box] as AllowancePool
-    if (stock.charge(organisation, amount, now)) return true
-    return stock.fullForMs(organisation, now) > 0 ? false : undefined
+    const pool = this.pools_[box] as AllowancePool
+    if (pool.charge(organisation, amount, now)) return true
+    return pool.fullForMs(organisation, now) > 0 ? false : undefined
   }
 
   tick(box: number, waiting: ReadonlyMap<string, number>): void {
     const {agenda, reaches} = this.options_
-    const stock = this.stocks_[box] as AllowancePool
-    const needs = new Map([...waiting].map(([name, need]) => [name, {need, least: 0}]))
-    const collected = stock.buildRequest(needs, agenda.now)
+    const pool = this.pools_[box] as AllowancePool
+    const demands = new Map([...waiting].map(([name, need]) => [name, {need, least: 0}]))
+    const collected = pool.buildRequest(demands, agenda.now)
     if (!collected || !reaches(box)) return
     const {ask, entries} = collected
     this.messages++
-    const lead = this.leads_
+    const term = this.term_
     agenda.later(LINK_MS, () => {
-      if (lead === this.leads_)
+      if (term === this.term_)
         this.ledger_?.handleUsage(String(box), ask, entries, agenda.now)
     })
   }
 
   kill(box: number): void {
-    this.stocks_[box] = new AllowancePool()
+    this.pools_[box] = new AllowancePool()
     this.ledger_?.forgetBox(String(box))
   }
 
   changeLeader(): void {
-    this.lead()
-    for (const stock of this.stocks_) stock.beginTerm()
+    this.startTerm()
+    for (const pool of this.pools_) pool.beginTerm()
   }
 
   dropLink(box: number): void {
     this.ledger_?.forgetBox(String(box))
   }
 
-  private lead(): void {
-    const lead = ++this.leads_
+  private startTerm(): void {
+    const term = ++this.term_
     const {usage, limits} = this.options_
-    const perform = (effect: LedgerEffect): void => this.perform(effect, lead)
+    const perform = (effect: LedgerEffect): void => this.perform(effect, term)
     this.ledger_ = new UsageLedger(usage, limits, perform)
     this.ledger_.startReading()
   }
 
-  private perform(effect: LedgerEffect, lead: number): void {
+  private perform(effect: LedgerEffect, term: number): void {
     const {agenda} = this.options_
     const ledger = this.ledger_
-    if (effect.type === "allow") return this.allow(effect)
+    if (effect.type === "allow") return this.sendGrants(effect)
     agenda.later(STORE_MS, () => {
-      if (lead !== this.leads_) return
+      if (term !== this.term_) return
       if (effect.type === "read-usage")
         return ledger?.handleStored(this.stored, agenda.now)
       this.stored = effect.outlooks
@@ -228,14 +241,14 @@
     })
   }
 
-  private allow({box, ask, grants}: Extract<LedgerEffect, {type: "allow"}>): void {
+  private sendGrants({box, ask, grants}: Extract<LedgerEffect, {type: "allow"}>): void {
     const {agenda, reaches} = this.options_
     const to = Number(box)
     this.messages++
-    const stock = this.stocks_[to]
+    const pool = this.pools_[to]
     agenda.later(LINK_MS, () => {
-      if (reaches(to) && stock === this.stocks_[to])
-        stock?.handleGrants(ask, grants, agenda.now)
+      if (reaches(to) && pool === this.pools_[to])
+        pool?.handleGrants(ask, grants, agenda.now)
     })
   }
 }
--- a/test/patterns/many-boxes.ts
+++ b/test/patterns/many-boxes.ts
@@ -1,12 +1,13 @@
 /**
- * A load pattern in one process, without a network: many boxes of which many have no callers, and engines
- * that turn a part of what reaches them away without running it. The real core of each box and of
- * their leader runs under one simulated clock.
+ * Load pattern in one process, without a network: many boxes, many of which have no
+ * callers, and engines that reject a share of the requests without running them. The real
+ * core of each box and of their leader runs under one simulated clock.
  *
- * Grounds for the figures, from played days of a deployment of 195 boxes before 55 engines: 238 requests a second for
- * engines; some 140 callers, each of which always reaches the same box; engines turned away 3,191 of 16,735
- * arrivals on a day of restarts and moved demand; repeats are held to 0.2 a request and 430 besides
- * in any 10 s, over all boxes. A message between two boxes takes 1.4 ms one way.
+ * The figures come from simulated days of a deployment with 195 boxes in front of 55
+ * engines: 238 requests per second for engines; some 140 callers, each of which always
+ * reaches the same box; engines rejected 3,191 of 16,735 arrivals on a day with restarts
+ * and moving demand. All boxes together may send 0.2 retries per request plus 430 in any
+ * 10 s. A message between two boxes takes 1.4 ms one way.
  */
 import {createBoxServing} from "../../src/core/box-state.js"
 import {nextTickMs, stepRouted} from "../../src/core/serving.js"
@@ -22,11 +23,14 @@
   readonly engines: number
   readonly perSecond: number
   readonly seconds: number
-  /** Requests before are played and not counted as served or refused, seconds. */
+  /** Earlier requests are simulated but not counted as served or refused (seconds). */
   readonly countFrom: number
-  /** Of the requests that reach an engine, the part that it turns away. */
+  /** Share of the requests reaching an engine that it rejects. */
   readonly turnedAway: number
-  /** From then on the leader answers nobody, seconds; Infinity: it always does. */
+  /**
+   * Time from which the leader does not answer (seconds). `Infinity` means it always
+   * answers.
+   */
   readonly leaderLostAt: number
 }
 
@@ -34,7 +38,7 @@
   readonly requests: number
   readonly served: number
   readonly refused: number
-  /** The most repeats in any window, as a part of what is allowed there. */
+  /** Largest share of the allowed retries that was used in any window. */
   readonly budgetUsed: number
 }
 
@@ -44,8 +48,8 @@
 const HANDOVER_MS = 3_200
 const ADAPTERS = 330
 
-/** Effects by which boxes and their leader speak, whatever else they hold. */
-interface Spoken {
+/** The fields of an effect that are read here, whatever its type. */
+interface SimulatedEffect {
   readonly type: string
   readonly id?: string
   readonly attempt?: number
@@ -53,7 +57,7 @@
   readonly box?: string
 }
 
-/** Plays the pattern. */
+/** Simulates the pattern. */
 export function playManyBoxes(options: ManyBoxesOptions): ManyBoxesResult {
   return new ManyBoxes(options).play()
 }
@@ -66,7 +70,7 @@
   private refused_ = 0
   private requests_ = 0
   private readonly arrivedAt_: number[] = []
-  private readonly repeatedAt_: number[] = []
+  private readonly retriedAt_: number[] = []
 
   constructor(private readonly options_: ManyBoxesOptions) {
     this.draw_ = drawFrom(options_.seed)
@@ -76,18 +80,18 @@
     const {boxes, seconds} = this.options_
     for (let i = 0; i < boxes; i++) this.boxes_.push(this.startBox(i))
     this.step(0, {type: "lead"})
-    for (let i = 0; i < boxes; i++) this.tickLater(i)
-    this.arriveLater()
+    for (let i = 0; i < boxes; i++) this.scheduleTick(i)
+    this.scheduleArrival()
     this.agenda_.runUntil(seconds * 1000)
     return {
       requests: this.arrivedAt_.filter(at => at >= this.options_.countFrom * 1000).length,
       served: this.served_,
       refused: this.refused_,
-      budgetUsed: this.judgeBudget()
+      budgetUsed: this.measureBudgetUse()
     }
   }
 
-  private get counts(): boolean {
+  private get isCounting(): boolean {
     return this.agenda_.now >= this.options_.countFrom * 1000
   }
 
@@ -111,7 +115,7 @@
     return state
   }
 
-  /** Each adapter stands on two engines. */
+  /** Each adapter is loaded on two engines. */
   private describeEngine(
     index: number
   ): Extract<RoutedEvent, {type: "engines"}>["engines"][0] {
@@ -119,30 +123,30 @@
     const held = Array.from({length: ADAPTERS}, (_, i) => i).filter(
       i => i % engines === index || (i + 1) % engines === index
     )
-    const places = held.map(i => ({adapter: `${MODEL}/a${i}`, version: 1, readyInMs: 0}))
-    return {engine: recordOf(index).id, models: [MODEL], places}
+    const slots = held.map(i => ({adapter: `${MODEL}/a${i}`, version: 1, readyInMs: 0}))
+    return {engine: recordOf(index).id, models: [MODEL], places: slots}
   }
 
-  private tickLater(box: number): void {
+  private scheduleTick(box: number): void {
     const waitMs = nextTickMs(this.boxes_[box] as RoutedState)
     this.agenda_.later(waitMs * (0.5 + this.draw_()), () => {
       this.step(box, {type: "tick", mayOrder: false})
-      this.tickLater(box)
+      this.scheduleTick(box)
     })
   }
 
-  private arriveLater(): void {
+  private scheduleArrival(): void {
     const gap = (-Math.log(1 - this.draw_()) * 1000) / this.options_.perSecond
     this.agenda_.later(gap, () => {
       this.arrive()
-      this.arriveLater()
+      this.scheduleArrival()
     })
   }
 
   private arrive(): void {
     const caller = Math.floor(this.draw_() * this.options_.callers)
-    // A caller's box is drawn once, by its number.
-    const box = Math.floor(hashed(caller) * this.options_.boxes)
+    // A caller always reaches the same box, which depends on its number.
+    const box = Math.floor(hashCaller(caller) * this.options_.boxes)
     const id = `q${this.requests_++}`
     this.arrivedAt_.push(this.agenda_.now)
     const adapter = `a${Math.floor(this.draw_() ** 2 * ADAPTERS)}`
@@ -162,30 +166,30 @@
   private step(box: number, event: RoutedEvent): void {
     const state = this.boxes_[box] as RoutedState
     const {effects} = stepRouted(state, event, this.agenda_.now)
-    for (const effect of effects) this.perform(box, effect as Spoken)
+    for (const effect of effects) this.perform(box, effect as SimulatedEffect)
   }
 
-  private perform(box: number, effect: Spoken): void {
+  private perform(box: number, effect: SimulatedEffect): void {
     const {type, id = "", attempt = 0, request = ""} = effect
     if (type === "send") return this.send(box, id, attempt)
-    if (type === "end" && this.counts) this.refused_++
-    if (type === "ask-retry") return this.speak(0, {...effect, box: String(box)})
+    if (type === "end" && this.isCounting) this.refused_++
+    if (type === "ask-retry") return this.sendMessage(0, {...effect, box: String(box)})
     if (type === "retry" && effect.box !== undefined) {
-      return this.speak(Number(effect.box), {...effect, type: "may-retry", request})
+      return this.sendMessage(Number(effect.box), {...effect, type: "may-retry", request})
     }
   }
 
-  /** A message between the leader, which is box 0, and another. */
-  private speak(to: number, message: object): void {
+  /** Sends a message between the leader, which is box 0, and another box. */
+  private sendMessage(to: number, message: object): void {
     if (this.agenda_.now >= this.options_.leaderLostAt * 1000) return
     this.agenda_.later(LINK_MS, () => this.step(to, message as RoutedEvent))
   }
 
   private send(box: number, id: string, attempt: number): void {
-    if (attempt > 1) this.repeatedAt_.push(this.agenda_.now)
+    if (attempt > 1) this.retriedAt_.push(this.agenda_.now)
     this.step(box, {type: "started", id, attempt})
-    const turnedAway = this.draw_() < this.options_.turnedAway
-    if (turnedAway) {
+    const isRejected = this.draw_() < this.options_.turnedAway
+    if (isRejected) {
       return this.agenda_.later(ENGINE_MS, () =>
         this.step(box, {
           type: "failed",
@@ -198,13 +202,13 @@
     }
     this.agenda_.later(ENGINE_MS, () => this.step(box, {type: "heard", id, attempt}))
     this.agenda_.later(RUN_MS, () => {
-      if (this.counts) this.served_++
+      if (this.isCounting) this.served_++
       this.step(box, {type: "done", id, attempt})
     })
   }
 
-  /** As those who set the budget count it, in windows that begin anywhere. */
-  private judgeBudget(): number {
+  /** Counts as operators who set the budget do, in windows that begin at any time. */
+  private measureBudgetUse(): number {
     const {windowMs, ratio, slack} = RETRY
     let most = 0
     for (let from = 0; from + windowMs <= this.agenda_.now; from += 250) {
@@ -212,14 +216,14 @@
         times.filter(at => at >= start && at < start + windowMs).length
       const starts = [from, from - windowMs, from - windowMs / 2]
       const requests = Math.max(...starts.map(start => within(this.arrivedAt_, start)))
-      const used = within(this.repeatedAt_, from) / (ratio * requests + slack)
+      const used = within(this.retriedAt_, from) / (ratio * requests + slack)
       most = Math.max(most, used)
     }
     return most
   }
 }
 
-/** A number in [0, 1) that depends on the caller only. */
-function hashed(caller: number): number {
+/** Returns a number in [0, 1) that depends on the caller only. */
+function hashCaller(caller: number): number {
   return drawFrom(caller + 1)()
 }
--- a/test/patterns/moved-demand.ts
+++ b/test/patterns/moved-demand.ts
@@ -1,11 +1,14 @@
 /**
- * A load pattern in one process, without a network: demand moves to adapters that one engine holds, while
- * requests for cold adapters never cease. The real placement of a leader runs under a simulated clock.
+ * Load pattern in one process, without a network: demand moves to adapters that only one
+ * engine holds, while requests for cold adapters continue. The real placement of a leader
+ * runs under a simulated clock.
  *
- * Grounds for the figures, from a played day of a deployment of 83 boxes before 98 engines of 5 places: some
- * 280 requests a second for engines, 1,800 tokens each; 130 a second of them for adapters that hardly anybody
- * else asks for; demand moves every few seconds, to adapters of 10 to 55 requests a second; an engine
- * reads 19.2 tokens a millisecond; an adapter comes from the weight store in 288 ms.
+ * The figures come from a simulated day of a deployment with 83 boxes in front of 98
+ * engines with 5 slots each: some 280 requests per second for engines with 1,800 tokens
+ * each, 130 per second of them for adapters that hardly any other request needs. Demand
+ * moves every few seconds to adapters with 10 to 55 requests per second. An engine
+ * prefills 19.2 tokens per millisecond, and an adapter loads from the weight store in 288
+ * ms.
  */
 import {drainFleet, planFleet} from "../../src/core/placement.js"
 import {handleOrderResult} from "../../src/core/placement-orders.js"
@@ -29,14 +32,18 @@
   readonly seed: number
   readonly engines: number
   readonly coldPerSecond: number
-  /** Requests a second for each adapter that is hot from the start of the count on. */
+  /** Requests per second for each adapter that becomes hot after `WARM_UP_S`. */
   readonly hotPerSecond: readonly number[]
   readonly seconds: number
 }
 
 export interface MovedDemandResult {
+  /** Number of requests for hot adapters. */
   readonly hot: number
-  /** Of the requests for hot adapters, those that waited for longer at their engine. */
+  /**
+   * Requests for hot adapters whose first token took longer than `SLOW_MS` at their
+   * engine.
+   */
   readonly slow: number
   readonly loads: number
 }
@@ -47,13 +54,13 @@
 const LOAD_MS = 288
 const ORDER_MS = 2
 const REPORT_MS = 3
-/** Until a leader knows of what boxes began and ended, on average, milliseconds. */
-const TOLD_MS = 125
-/** Tokens come out for so long after the first, milliseconds. */
+/** Average delay until the leader receives the usage deltas of boxes. */
+const USE_REPORT_MS = 125
+/** Time from the first to the last output token. */
 const RUN_MS = 300
 const PLAN_MS = 10
-/** Places are full of cold adapters by then, seconds. */
-const CALM_S = 6
+/** By this time all slots are filled with cold adapters. */
+const WARM_UP_S = 6
 export const SLOW_MS = 700
 
 const SERVICE: FleetService = {
@@ -68,7 +75,7 @@
   }
 }
 
-/** Plays the pattern. */
+/** Simulates the pattern. */
 export function playMovedDemand(options: MovedDemandOptions): MovedDemandResult {
   return new MovedDemand(options).play()
 }
@@ -85,7 +92,7 @@
   private readonly fleet_: Fleet
   private readonly engines_ = new Map<string, Engine>()
   private random_
-  private asked_ = 0
+  private requests_ = 0
   private hot_ = 0
   private slow_ = 0
   private loads_ = 0
@@ -112,11 +119,11 @@
   play(): MovedDemandResult {
     const {seconds, hotPerSecond} = this.options_
     this.plan()
-    this.cold()
-    this.agenda_.later(CALM_S * 1000, () => {
-      hotPerSecond.forEach((perSecond, i) => this.hot(`hot-${i}`, perSecond))
+    this.startColdDemand()
+    this.agenda_.later(WARM_UP_S * 1000, () => {
+      hotPerSecond.forEach((perSecond, i) => this.startHotDemand(`hot-${i}`, perSecond))
     })
-    this.agenda_.runUntil((CALM_S + seconds) * 1000)
+    this.agenda_.runUntil((WARM_UP_S + seconds) * 1000)
     return {hot: this.hot_, slow: this.slow_, loads: this.loads_}
   }
 
@@ -165,27 +172,30 @@
   private report(id: string): void {
     const {held, pending, sequence} = this.engines_.get(id) as Engine
     const adapters = new Map([...held].map(name => [name, 1] as const))
-    const coming = [...pending].map(name => ({adapter: `${MODEL}/${name}`, version: 1}))
+    const pendingLoads = [...pending].map(name => ({
+      adapter: `${MODEL}/${name}`,
+      version: 1
+    }))
     const models = [{name: MODEL, adapters}]
-    const report = {sequence, busy: false, models, pending: coming}
+    const report = {sequence, busy: false, models, pending: pendingLoads}
     applyEngineReport(this.fleet_, id, report, this.agenda_.now)
   }
 
-  private cold(): void {
+  private startColdDemand(): void {
     this.every(this.options_.coldPerSecond, () =>
-      this.request(`cold-${this.asked_}`, false)
+      this.request(`cold-${this.requests_}`, false)
     )
   }
 
-  private hot(adapter: string, perSecond: number): void {
+  private startHotDemand(adapter: string, perSecond: number): void {
     this.every(perSecond, () => this.request(adapter, true))
   }
 
-  private request(adapter: string, hot: boolean): void {
-    const request = `r${this.asked_++}`
-    if (hot) this.hot_++
-    if (this.send(adapter, hot)) return
-    const need = {
+  private request(adapter: string, isHot: boolean): void {
+    const request = `r${this.requests_++}`
+    if (isHot) this.hot_++
+    if (this.send(adapter, isHot)) return
+    const weightsRequest = {
       request,
       service: "engines",
       model: MODEL,
@@ -196,56 +206,59 @@
       tokens: TOKENS,
       failedAt: []
     }
-    handleWeightsRequest(this.fleet_, "box", need, this.agenda_.now)
-    this.wait(request, adapter, hot)
+    handleWeightsRequest(this.fleet_, "box", weightsRequest, this.agenda_.now)
+    this.retryLater(request, adapter, isHot)
   }
 
-  private wait(request: string, adapter: string, hot: boolean): void {
+  private retryLater(request: string, adapter: string, isHot: boolean): void {
     this.agenda_.later(PLAN_MS, () => {
-      if (this.send(adapter, hot)) removeWeightsRequest(this.fleet_, "box", request)
-      else this.wait(request, adapter, hot)
+      if (this.send(adapter, isHot)) removeWeightsRequest(this.fleet_, "box", request)
+      else this.retryLater(request, adapter, isHot)
     })
   }
 
   /** Sends to the engine with the least work among those that hold the adapter. */
-  private send(adapter: string, hot: boolean): boolean {
+  private send(adapter: string, isHot: boolean): boolean {
     const {now} = this.agenda_
     const holders = [...this.engines_].filter(([, {held}]) => held.has(adapter))
     holders.sort(([, a], [, b]) => a.busyUntil - b.busyUntil)
     const [first] = holders
     if (!first) {
-      this.tryEarly(adapter)
+      this.reportLateWeights(adapter)
       return false
     }
     const [id, engine] = first
     const firstAt = Math.max(now, engine.busyUntil) + TOKENS / TOKENS_PER_MS
     engine.busyUntil = firstAt
-    if (hot && firstAt - now > SLOW_MS) this.slow_++
-    this.tell(0, id, adapter, {begun: 1, ended: 0, tokens: TOKENS})
-    this.tell(firstAt - now, id, adapter, {begun: 0, ended: 0, tokens: -TOKENS})
-    this.tell(firstAt - now + RUN_MS, id, adapter, {begun: 0, ended: 1, tokens: 0})
+    if (isHot && firstAt - now > SLOW_MS) this.slow_++
+    this.reportUse(0, id, adapter, {begun: 1, ended: 0, tokens: TOKENS})
+    this.reportUse(firstAt - now, id, adapter, {begun: 0, ended: 0, tokens: -TOKENS})
+    this.reportUse(firstAt - now + RUN_MS, id, adapter, {begun: 0, ended: 1, tokens: 0})
     return true
   }
 
-  /** A box sends where the leader believes the weights to be: an engine that has them not yet refuses. */
-  private tryEarly(adapter: string): void {
+  /**
+   * Reports late weights for each engine where the load should be complete. A box sends
+   * requests there, and the engine refuses them while it does not have the weights yet.
+   */
+  private reportLateWeights(adapter: string): void {
     const {now} = this.agenda_
     const key = `${MODEL}/${adapter}`
-    for (const {id, slots: places} of this.fleet_.engines.values()) {
-      const place = places.get(key)
-      if (place?.phase === "loading" && place.readyAt <= now) {
+    for (const {id, slots} of this.fleet_.engines.values()) {
+      const slot = slots.get(key)
+      if (slot?.phase === "loading" && slot.readyAt <= now) {
         handleLateWeights(this.fleet_, id, key, now)
       }
     }
   }
 
-  private tell(
+  private reportUse(
     afterMs: number,
     engine: string,
     adapter: string,
     use: {readonly begun: number; readonly ended: number; readonly tokens: number}
   ): void {
-    this.agenda_.later(afterMs + TOLD_MS, () => {
+    this.agenda_.later(afterMs + USE_REPORT_MS, () => {
       const change = {engine, adapter: `${MODEL}/${adapter}`, ...use}
       applyUseDeltas(this.fleet_, "box", [change], this.agenda_.now)
     })
--- a/test/patterns/named-rate.ts
+++ b/test/patterns/named-rate.ts
@@ -1,10 +1,12 @@
 /**
- * A load pattern in one process, without a network: a server is asked for more than it can do and names the rate
- * that it takes from all boxes together, while boxes are cut off from their leader, killed or suspended, and leaders
- * change. Others serve what it does not take; what counts here is what the server gets.
+ * Load pattern in one process, without a network: a server receives more requests than it
+ * can serve and advertises a rate limit for all boxes together, while boxes are cut off
+ * from their leader, killed or suspended, and leaders change. Other servers serve the
+ * remaining requests, so only the requests that reach this server count.
  *
- * Grounds for the figures: a busy engine of the smaller deployments gets some 4 to 10 requests a second and names
- * about a quarter of that; the rest of the rates are a tenth and a hundred times as much, for larger ones.
+ * Grounds for the figures: a busy engine of the smaller deployments receives some 4 to 10
+ * requests per second and advertises about a quarter of that. The other rates are a tenth
+ * and a hundred times as high; the high ones stand for larger engines.
  */
 import {Agenda} from "./agenda.js"
 import {drawFrom, LINK_MS} from "./fleet.js"
@@ -16,78 +18,89 @@
   readonly seed: number
   readonly way: RateWayName
   readonly boxes: number
-  /** Requests a second that the server takes. */
+  /** Advertised rate limit of the server (requests per second). */
   readonly perSecond: number
-  /** Of all requests, the part that one box gets; the others are spread. */
+  /** Share of all requests that reach one box. The others are spread evenly. */
   readonly oneBoxShare?: number
-  /** What is asked for, as a multiple of the rate. */
+  /** Request rate as a multiple of the advertised rate. */
   readonly demand?: number
-  /** Times, seconds; the rate is named at `NAMED_S`. */
+  /**
+   * Times at which the leader is lost (seconds). The rate is advertised at
+   * `ADVERTISED_S`.
+   */
   readonly leaderLostAt?: readonly number[]
-  /** A third of the boxes is cut off from the leader from then until then, seconds. */
+  /** Period in which a third of the boxes is cut off from the leader (seconds). */
   readonly cut?: readonly [from: number, until: number]
-  /** A third of the boxes is killed, or stands still for two seconds, seconds. */
+  /** Time at which a third of the boxes is killed (seconds). */
   readonly killedAt?: number
+  /** Time at which a third of the boxes is suspended for two seconds (seconds). */
   readonly suspendedAt?: number
 }
 
 export interface NamedRateResult {
-  /** The most requests in any span of 4 s that begins after the rate was named, and what the rate allows in one. */
+  /** Most requests in any span of 4 s that starts after the rate was advertised. */
   readonly most: number
+  /** Requests that the rate allows in such a span. */
   readonly word: number
-  /** The same for spans that end later than 3 s after the naming, whenever they begin. */
+  /**
+   * Most requests in any span of 4 s that ends more than 3 s after the rate was
+   * advertised, whenever it starts.
+   */
   readonly mostAfterContact: number
-  /** Of the rate, what the server got from then on until the end. */
+  /**
+   * Share of the allowed requests that the server received in the time after those 3 s.
+   */
   readonly used: number
-  /** Of 100 requests that were sent, 95 had waited for no longer, milliseconds. */
+  /** 95th percentile of the waiting time of the sent requests. */
   readonly waitMs: number
-  /** Between boxes, a box and second. */
+  /** Messages between boxes, per box and second. */
   readonly messages: number
 }
 
-export const NAMED_S = 2
+export const ADVERTISED_S = 2
 const END_S = 22
 const CONTACT_S = 3
 const SPAN_S = 4
 
-/** A request waits so long for an allowance, milliseconds. */
+/** Longest time that a request waits for an allowance. */
 const HOLD_MS = 250
 
-/** Until a box hears the answer that names the rate, and without a leader, milliseconds. */
+/** Time until a box receives the answer that advertises the rate. */
 const ANSWER_MS = 30
+/** Time without a leader after one is lost. */
 const TAKEOVER_MS = 1_500
 
-const STILL_MS = 2_000
-const STRUCK_SHARE = 1 / 3
+const SUSPENSION_MS = 2_000
+const AFFECTED_SHARE = 1 / 3
 
-/** Plays the pattern. */
+/** Simulates the pattern. */
 export function playNamedRate(options: NamedRateOptions): NamedRateResult {
-  return new NamedRate(options).play()
+  return new AdvertisedRate(options).play()
 }
 
 interface Waiting {
   readonly since: number
 }
 
-class NamedRate {
+class AdvertisedRate {
   private readonly agenda_ = new Agenda()
   private readonly draw_: () => number
-  private readonly way_: RateWay
+  private readonly strategy_: RateWay
   private readonly waiting_: Waiting[][]
-  private readonly knows_: boolean[]
-  private readonly stillUntil_: number[]
-  /** Requests that reached the server, and how long each had waited, milliseconds. */
+  private readonly isLimited_: boolean[]
+  private readonly suspendedUntil_: number[]
+  /** Requests that reached the server. */
   private readonly sent_: {readonly at: number; readonly waitMs: number}[] = []
   private leaderFrom_ = 0
-  private spread_ = false
+  private isRateShared_ = false
 
   constructor(private readonly options_: NamedRateOptions) {
     const {boxes, seed, perSecond} = options_
     this.draw_ = drawFrom(seed)
     this.waiting_ = Array.from({length: boxes}, () => [])
-    this.knows_ = Array.from({length: boxes}, () => false)
-    this.stillUntil_ = Array.from({length: boxes}, () => 0)
-    this.way_ = createWay(options_.way, {
+    this.isLimited_ = Array.from({length: boxes}, () => false)
+    this.suspendedUntil_ = Array.from({length: boxes}, () => 0)
+    this.strategy_ = createStrategy(options_.way, {
       agenda: this.agenda_,
       boxes,
       perSecond,
@@ -107,12 +120,12 @@
     if (killedAt) agenda_.later(killedAt * 1_000, () => this.kill())
     if (suspendedAt) agenda_.later(suspendedAt * 1_000, () => this.suspend())
     agenda_.runUntil(END_S * 1_000)
-    return this.judge()
+    return this.summarize()
   }
 
-  private judge(): NamedRateResult {
+  private summarize(): NamedRateResult {
     const {perSecond, boxes} = this.options_
-    const from = NAMED_S * 1_000
+    const from = ADVERTISED_S * 1_000
     const contact = from + CONTACT_S * 1_000
     const waits = this.sent_.map(({waitMs}) => waitMs).sort((a, b) => a - b)
     const after = this.sent_.filter(({at}) => at >= contact).length
@@ -120,13 +133,16 @@
       most: this.mostIn(({at}) => at >= from + ANSWER_MS + 10, 0),
       mostAfterContact: this.mostIn(() => true, contact),
       word: perSecond * SPAN_S,
-      used: after / (perSecond * (END_S - NAMED_S - CONTACT_S)),
+      used: after / (perSecond * (END_S - ADVERTISED_S - CONTACT_S)),
       waitMs: waits[Math.floor(waits.length * 0.95)] ?? 0,
-      messages: this.way_.messages / boxes / END_S
+      messages: this.strategy_.messages / boxes / END_S
     }
   }
 
-  /** The most in any span, of the requests that count, that ends at that time or later. */
+  /**
+   * Returns the largest number of counted requests in a span that ends at `endFrom` or
+   * later.
+   */
   private mostIn(counts: (sent: {at: number}) => boolean, endFrom: number): number {
     const times = this.sent_.filter(counts).map(({at}) => at)
     let first = 0
@@ -138,15 +154,15 @@
     return most
   }
 
-  private isStruck(box: number): boolean {
-    return box < this.options_.boxes * STRUCK_SHARE
+  private isAffected(box: number): boolean {
+    return box < this.options_.boxes * AFFECTED_SHARE
   }
 
   private reaches(box: number): boolean {
     const {now} = this.agenda_
     const {cut} = this.options_
     const isCut = cut && now >= cut[0] * 1_000 && now < cut[1] * 1_000
-    return !(isCut && this.isStruck(box)) && now >= this.leaderFrom_
+    return !(isCut && this.isAffected(box)) && now >= this.leaderFrom_
   }
 
   private arrive(): void {
@@ -161,82 +177,87 @@
 
   private request(box: number): void {
     const {now} = this.agenda_
-    if (now < (this.stillUntil_[box] ?? 0)) return
-    if (!this.knows_[box]) {
-      this.way_.noteFree(box)
+    if (now < (this.suspendedUntil_[box] ?? 0)) return
+    if (!this.isLimited_[box]) {
+      this.strategy_.noteFree(box)
       this.sent_.push({at: now, waitMs: 0})
-      if (now >= NAMED_S * 1_000) this.agenda_.later(ANSWER_MS, () => this.spread(box))
+      if (now >= ADVERTISED_S * 1_000)
+        this.agenda_.later(ANSWER_MS, () => this.shareRate(box))
       return
     }
-    if (this.waiting_[box]?.length === 0 && this.way_.send(box)) {
+    if (this.waiting_[box]?.length === 0 && this.strategy_.send(box)) {
       this.sent_.push({at: now, waitMs: 0})
       return
     }
-    if (this.way_.fullForMs(box) > HOLD_MS) return
+    if (this.strategy_.fullForMs(box) > HOLD_MS) return
     this.waiting_[box]?.push({since: now})
-    this.look(box)
+    this.sendWaiting(box)
   }
 
-  /** One box heard: by its leader all others do. */
-  private spread(box: number): void {
-    this.bind(box)
-    if (this.spread_ || !this.reaches(box)) return
-    this.spread_ = true
+  /** Limits a box, which received the rate, and by its leader all other boxes. */
+  private shareRate(box: number): void {
+    this.limitBox(box)
+    if (this.isRateShared_ || !this.reaches(box)) return
+    this.isRateShared_ = true
     this.agenda_.later(2 * LINK_MS, () => {
-      for (let other = 0; other < this.options_.boxes; other++) this.bind(other)
+      for (let other = 0; other < this.options_.boxes; other++) this.limitBox(other)
     })
   }
 
-  private bind(box: number): void {
-    if (this.knows_[box]) return
-    this.knows_[box] = true
-    this.way_.bind(box)
+  private limitBox(box: number): void {
+    if (this.isLimited_[box]) return
+    this.isLimited_[box] = true
+    this.strategy_.bind(box)
   }
 
-  private look(box: number): void {
+  private sendWaiting(box: number): void {
     const {now} = this.agenda_
-    if (now < (this.stillUntil_[box] ?? 0)) return
+    if (now < (this.suspendedUntil_[box] ?? 0)) return
     const waiting = this.waiting_[box] ?? []
-    while (waiting.length > 0 && this.way_.send(box)) {
+    while (waiting.length > 0 && this.strategy_.send(box)) {
       this.sent_.push({at: now, waitMs: now - (waiting.shift() as Waiting).since})
     }
-    const fullMs = this.way_.fullForMs(box)
+    const fullMs = this.strategy_.fullForMs(box)
     this.waiting_[box] = waiting.filter(({since}) => now + fullMs < since + HOLD_MS)
     const newest = this.waiting_[box]?.at(-1)
     const waitMs = newest ? newest.since + HOLD_MS - now : 0
     const need = {count: this.waiting_[box]?.length ?? 0, rank: 1, waitMs}
-    this.way_.ask(box, need, () => this.agenda_.later(0.01, () => this.look(box)))
+    this.strategy_.ask(box, need, () =>
+      this.agenda_.later(0.01, () => this.sendWaiting(box))
+    )
   }
 
   private tick(box: number): void {
-    if (this.knows_[box]) this.look(box)
+    if (this.isLimited_[box]) this.sendWaiting(box)
     this.agenda_.later(TICK_MS, () => this.tick(box))
   }
 
   private loseLeader(): void {
     this.leaderFrom_ = this.agenda_.now + TAKEOVER_MS
-    this.agenda_.later(TAKEOVER_MS, () => this.way_.changeLeader())
+    this.agenda_.later(TAKEOVER_MS, () => this.strategy_.changeLeader())
   }
 
   private kill(): void {
-    this.strike(box => {
-      this.way_.kill(box)
+    this.forEachAffected(box => {
+      this.strategy_.kill(box)
       this.waiting_[box] = []
-      // Its leader tells it as it links.
-      this.way_.bind(box)
+      // The leader sends the rate when the box connects again.
+      this.strategy_.bind(box)
     })
   }
 
   private suspend(): void {
-    this.strike(box => (this.stillUntil_[box] = this.agenda_.now + STILL_MS))
+    this.forEachAffected(
+      box => (this.suspendedUntil_[box] = this.agenda_.now + SUSPENSION_MS)
+    )
   }
 
-  private strike(act: (box: number) => void): void {
-    for (let box = 0; this.isStruck(box); box++) act(box)
+  private forEachAffected(act: (box: number) => void): void {
+    for (let box = 0; this.isAffected(box); box++) act(box)
   }
 }
 
-function createWay(
+function createStrategy(
   name: RateWayName,
   options: ConstructorParameters<typeof Allowances>[0]
 ): RateWay {
--- a/test/patterns/rate-ways.ts
+++ b/test/patterns/rate-ways.ts
@@ -1,6 +1,7 @@
 /**
- * Ways to keep the rate that a server takes from all boxes together, behind one interface: allowances by the leader
- * on demand, which boxes use, on their real core, and two others to compare them with.
+ * Strategies to keep a server's advertised rate limit over all boxes together, behind one
+ * interface: allowances that the leader grants on demand, which boxes use, on their real
+ * core, and two others for comparison.
  */
 import {RatePacer} from "../../src/core/rate-pacer.js"
 import {RecentSends} from "../../src/core/recent-sends.js"
@@ -9,52 +10,55 @@
 import type {Agenda} from "./agenda.js"
 import {LINK_MS} from "./fleet.js"
 
-/** How often a box looks at what waits, milliseconds. */
+/** Interval at which a box checks its waiting requests. */
 export const TICK_MS = 20
 
 export interface RateWayOptions {
   readonly agenda: Agenda
   readonly boxes: number
-  /** Requests a second that the server takes. */
+  /** Advertised rate limit of the server (requests per second). */
   readonly perSecond: number
   readonly draw: () => number
-  /** Whether a message passes between the box and the leader now. */
+  /** Whether messages between the box and the leader arrive now. */
   readonly reaches: (box: number) => boolean
 }
 
 export interface RateWay {
-  /** Messages between boxes so far. */
+  /** Number of messages between boxes so far. */
   readonly messages: number
-  /** A box sends a request, which it needs no allowance for yet. */
+  /** Records a send of a box. */
   noteFree(box: number): void
-  /** From now on the box knows of the rate. */
+  /** Limits the box to the advertised rate from now on. */
   bind(box: number): void
   /** Sends a request if it may be sent now. */
   send(box: number): boolean
-  /** In how long there may be room, milliseconds; 0: there may be now. */
+  /**
+   * Shortest time until the box may send again (ms). 0 means it may be able to send now.
+   */
   fullForMs(box: number): number
-  /** Once a tick, and as a request begins to wait. */
+  /** Called once per tick and when a request starts to wait. */
   ask(box: number, need: SendDemand, changed: () => void): void
-  /** The box forgets all. */
+  /** Discards the state of the box. */
   kill(box: number): void
   changeLeader(): void
 }
 
-/** A bucket that gives a part of the rate. */
-class Part {
+/** A token bucket with a part of the rate. */
+class TokenBucket {
   private nextAt_: number
 
   constructor(
     private readonly agenda_: Agenda,
-    private readonly turnMs_: number,
+    private readonly intervalMs_: number,
     draw: number
   ) {
-    this.nextAt_ = agenda_.now + turnMs_ * draw
+    this.nextAt_ = agenda_.now + intervalMs_ * draw
   }
 
   take(): boolean {
     if (this.agenda_.now < this.nextAt_) return false
-    this.nextAt_ = Math.max(this.nextAt_, this.agenda_.now - this.turnMs_) + this.turnMs_
+    this.nextAt_ =
+      Math.max(this.nextAt_, this.agenda_.now - this.intervalMs_) + this.intervalMs_
     return true
   }
 
@@ -63,10 +67,10 @@
   }
 }
 
-/** The boxes that `members` counts each have an equal part of the rate, and all others none. */
-class Parts implements RateWay {
+/** Each box in `members` has an equal part of the rate, and other boxes have none. */
+class PartitionedRate implements RateWay {
   readonly messages = 0
-  private readonly parts_ = new Map<number, Part>()
+  private readonly buckets_ = new Map<number, TokenBucket>()
 
   constructor(
     private readonly options_: RateWayOptions,
@@ -78,56 +82,59 @@
   bind(box: number): void {
     const {agenda, perSecond, draw} = this.options_
     if (!this.members_.has(box)) return
-    const turnMs = (1_000 * this.members_.size) / perSecond
-    this.parts_.set(box, new Part(agenda, turnMs, draw()))
+    const intervalMs = (1_000 * this.members_.size) / perSecond
+    this.buckets_.set(box, new TokenBucket(agenda, intervalMs, draw()))
   }
 
   send(box: number): boolean {
-    return this.parts_.get(box)?.take() ?? false
+    return this.buckets_.get(box)?.take() ?? false
   }
 
   fullForMs(box: number): number {
-    return this.parts_.get(box)?.dueInMs ?? Infinity
+    return this.buckets_.get(box)?.dueInMs ?? Infinity
   }
 
   ask(): void {}
 
   kill(box: number): void {
-    this.parts_.delete(box)
+    this.buckets_.delete(box)
   }
 
   changeLeader(): void {}
 }
 
-/** Each box has the same part. */
-export class FixedParts extends Parts {
+/** Each box has an equal part of the rate. */
+export class FixedParts extends PartitionedRate {
   constructor(options: RateWayOptions) {
     super(options, new Set(Array.from({length: options.boxes}, (_, box) => box)))
   }
 }
 
-/** So many requests a second are enough for a box to have its own part. */
-const PART_PER_SECOND = 2
+/** Smallest part of the rate that a box receives (requests per second). */
+const MIN_PART_PER_SECOND = 2
 
-/** Few boxes may send to the server, chosen by a hash that all compute alike. */
-export class FewBoxes extends Parts {
+/**
+ * Few boxes may send to the server. Rendezvous hashing selects the same ones on every
+ * box.
+ */
+export class FewBoxes extends PartitionedRate {
   constructor(options: RateWayOptions) {
     const {boxes, perSecond} = options
     const names = Array.from({length: boxes}, (_, box) => String(box))
-    const few = Math.min(boxes, Math.max(1, Math.floor(perSecond / PART_PER_SECOND)))
+    const few = Math.min(boxes, Math.max(1, Math.floor(perSecond / MIN_PART_PER_SECOND)))
     super(options, new Set(rankMembers("server", names).slice(0, few).map(Number)))
   }
 }
 
 const SERVER = "server"
 
-/** The boxes' own way, on their real core. */
+/** The strategy that boxes use, on their real core. */
 export class Allowances implements RateWay {
   messages = 0
   private readonly boxes_: SendAllowances[]
   private readonly sent_: RecentSends[]
   private pacer_: RatePacer
-  private leads_ = 0
+  private term_ = 0
 
   constructor(private readonly options_: RateWayOptions) {
     const length = options_.boxes
@@ -141,7 +148,7 @@
   }
 
   bind(box: number): void {
-    this.tellSent(box)
+    this.reportSends(box)
   }
 
   send(box: number): boolean {
@@ -162,9 +169,9 @@
     const {agenda, reaches, draw, boxes, perSecond} = this.options_
     const allowances = this.boxes_[box] as SendAllowances
     if (allowances.isLeaderSilent(SERVER, agenda.now) && need.count > 0) {
-      const part = {perSecond, boxes, draw: draw()}
+      const fallback = {perSecond, boxes, draw: draw()}
       if (!allowances.holds(SERVER, agenda.now)) {
-        allowances.addFallback(SERVER, part, agenda.now, agenda.now)
+        allowances.addFallback(SERVER, fallback, agenda.now, agenda.now)
         if (allowances.holds(SERVER, agenda.now)) changed()
       }
       return
@@ -172,9 +179,9 @@
     const ask = allowances.buildRequest(SERVER, need, false, agenda.now)
     if (!ask || !reaches(box)) return
     this.messages++
-    const lead = this.leads_
+    const term = this.term_
     agenda.later(LINK_MS, () => {
-      if (lead !== this.leads_) return
+      if (term !== this.term_) return
       const grant = this.pacer_.handleRequest(String(box), ask, agenda.now)
       this.messages++
       agenda.later(LINK_MS, () => {
@@ -191,15 +198,15 @@
   }
 
   changeLeader(): void {
-    this.leads_++
+    this.term_++
     this.pacer_ = this.createPacer()
     for (const [box, allowances] of this.boxes_.entries()) {
       allowances.beginTerm()
-      this.tellSent(box)
+      this.reportSends(box)
     }
   }
 
-  private tellSent(box: number): void {
+  private reportSends(box: number): void {
     const {agenda, reaches} = this.options_
     const counts = this.sent_[box]?.list(SERVER, agenda.now) ?? []
     if (counts.length === 0 || !reaches(box)) return
--- a/test/patterns/shared-limits.ts
+++ b/test/patterns/shared-limits.ts
@@ -1,11 +1,13 @@
 /**
- * A load pattern in one process, without a network: organisations whose callers reach many boxes, one of
- * them far over its limit, while boxes are cut off from their leader, killed, and leaders change.
+ * Load pattern in one process, without a network: organisations whose callers reach many
+ * boxes, one of them far over its limit, while boxes are cut off from their leader,
+ * killed, and leaders change.
  *
- * Grounds for the figures, from the sheet of a deployment of 83 boxes: 16 organisations, the largest with a
- * quarter of all use; limits are 1.8 times the usual use a second, counted in tokens over 8 s with a burst
- * of one second, a tenth and 17,000 tokens more; a request counts some 2,400 tokens, a plain one 200; a hot
- * organisation sends 7.5 times its usual.
+ * The figures come from the sheet of a deployment with 83 boxes: 16 organisations, the
+ * largest with a quarter of all usage. Limits are 1.8 times the usual usage per second,
+ * counted in tokens over 8 s, with a burst of one second, an overage of a tenth and a
+ * slack of 17,000 tokens. A request counts some 2,400 tokens, a plain one 200. A hot
+ * organisation sends 7.5 times its usual load.
  */
 import type {UsageOptions} from "../../src/core/usage-limits.js"
 import {createRandom, uniformFloat64} from "../../src/utils/random.js"
@@ -27,27 +29,37 @@
   readonly way: WayName
   readonly boxes: number
   readonly seconds: number
-  /** The usual use of all organisations together, tokens a second. */
+  /** Usual usage of all organisations together (tokens per second). */
   readonly perSecond: number
-  /** What each organisation sends of its usual, by its place, from a time on, seconds. */
+  /**
+   * Load of an organisation, by index, at a time (seconds), as a multiple of its usual
+   * load.
+   */
   readonly demand: (organisation: number, at: number) => number
-  /** Times, seconds. */
+  /** Times at which the leader is lost (seconds). */
   readonly leaderLostAt?: readonly number[]
+  /** Times at which all boxes are killed (seconds). */
   readonly allKilledAt?: readonly number[]
-  /** A third of the boxes is cut off from the leader from then until then, seconds. */
+  /** Period in which a third of the boxes is cut off from the leader (seconds). */
   readonly cut?: readonly [from: number, until: number]
-  /** From then on limits are this part of what they were, seconds. */
+  /** Multiplies the limits by `to` from a time on (seconds). */
   readonly lowered?: {readonly at: number; readonly to: number}
 }
 
 export interface SharedLimitsResult {
-  /** The most used in any window, as a part of the limit with overage and slack. */
+  /** Largest usage in any window, as a share of the limit with overage and slack. */
   readonly mostUsed: number
-  /** Of requests of organisations that never asked for more than their limits, the part refused. */
+  /**
+   * Share refused of the requests that organisations sent while at or below their usual
+   * load.
+   */
   readonly refusedBeneath: number
-  /** What organisations far over their limits used, as a part of their rates; 0: none was. */
+  /**
+   * Usage of organisations over their limits, as a share of their rates. 0 means there
+   * were none.
+   */
   readonly hotUsed: number
-  /** Between boxes, a box and second. */
+  /** Messages between boxes, per box and second. */
   readonly messages: number
 }
 
@@ -58,17 +70,18 @@
 const PLAIN_TOKENS = 200
 const PLAIN_SHARE = 0.33
 
-/** A request waits so long for an allowance, milliseconds. */
+/** Longest time that a request waits for an allowance. */
 const HOLD_MS = 250
 
-/** Without a leader for so long; and processes are away for so long, milliseconds. */
+/** Time without a leader after one is lost. */
 const TAKEOVER_MS = 1_500
+/** Time until killed processes run again. */
 const RESTART_MS = 1_000
 
-/** A leader drops a box from which nothing comes after so long, milliseconds. */
+/** Time without messages after which a leader closes the link of a box. */
 const SILENCE_MS = 2_500
 
-/** Plays the pattern. */
+/** Simulates the pattern. */
 export function playSharedLimits(options: SharedLimitsOptions): SharedLimitsResult {
   return new SharedLimits(options).play()
 }
@@ -86,14 +99,14 @@
 
 class SharedLimits {
   private readonly agenda_ = new Agenda()
-  private readonly way_: LimitWay
+  private readonly strategy_: LimitWay
   private readonly uses_ = Array.from({length: ORGANISATIONS}, () => [] as Use[])
   private readonly waiting_: Waiting[][]
   private readonly shares_: number[]
   private random_
   private leaderFrom_ = 0
   private downUntil_ = 0
-  private asked_ = 0
+  private requests_ = 0
   private refused_ = 0
 
   constructor(private readonly options_: SharedLimitsOptions) {
@@ -102,7 +115,7 @@
     const ranks = Array.from({length: ORGANISATIONS}, (_, i) => 1 / (i + 1) ** 0.8)
     const sum = ranks.reduce((a, b) => a + b, 0)
     this.shares_ = ranks.map(rank => rank / sum)
-    this.way_ = createWay(options_.way, {
+    this.strategy_ = createStrategy(options_.way, {
       agenda: this.agenda_,
       boxes: options_.boxes,
       usage: USAGE,
@@ -123,20 +136,20 @@
     this.agenda_.runUntil(seconds * 1000)
     return {
       mostUsed: Math.max(...this.uses_.map((uses, i) => this.mostUsed(uses, i))),
-      refusedBeneath: this.refused_ / Math.max(1, this.asked_),
+      refusedBeneath: this.refused_ / Math.max(1, this.requests_),
       hotUsed: this.hotUsed(),
-      messages: this.way_.messages / boxes / seconds
+      messages: this.strategy_.messages / boxes / seconds
     }
   }
 
-  private usual(organisation: number): number {
+  private usualPerSecond(organisation: number): number {
     return this.options_.perSecond * (this.shares_[organisation] ?? 0)
   }
 
   private limitOf(organisation: number, at: number): number {
     const {lowered} = this.options_
     const factor = lowered && at >= lowered.at * 1000 ? lowered.to : 1
-    const perSecond = this.usual(organisation) * LIMIT_FACTOR * factor
+    const perSecond = this.usualPerSecond(organisation) * LIMIT_FACTOR * factor
     const burst = perSecond
     const {windowMs, overage, slack} = USAGE
     return ((perSecond * windowMs) / 1000 + burst) * (1 + overage) + slack
@@ -164,7 +177,7 @@
     const {agenda_, options_} = this
     const demand = options_.demand(organisation, agenda_.now / 1000)
     const mean = REQUEST_TOKENS * (1 - PLAIN_SHARE) + PLAIN_TOKENS * PLAIN_SHARE
-    const perMs = (this.usual(organisation) * demand) / mean / 1000
+    const perMs = (this.usualPerSecond(organisation) * demand) / mean / 1000
     agenda_.later(-Math.log(1 - this.draw()) / perMs, () => {
       this.request(organisation, demand)
       this.arrive(organisation)
@@ -178,46 +191,51 @@
     const plain = this.draw() < PLAIN_SHARE
     const tokens = Math.round(REQUEST_TOKENS * (0.5 + this.draw()))
     const amount = plain ? PLAIN_TOKENS : tokens
-    if (demand <= 1) this.asked_++
+    if (demand <= 1) this.requests_++
     const waiting = {organisation, amount, until: now + HOLD_MS}
-    const given = this.way_.charge(box, `o${organisation}`, amount)
-    if (given === true) this.use(waiting)
-    else if (given === false) this.refuse(waiting)
+    const isCharged = this.strategy_.charge(box, `o${organisation}`, amount)
+    if (isCharged === true) this.recordUse(waiting)
+    else if (isCharged === false) this.recordRefusal(waiting)
     else {
       this.waiting_[box]?.push(waiting)
-      this.ask(box)
+      this.requestAllowance(box)
     }
   }
 
-  private ask(box: number): void {
-    const needs = new Map<string, number>()
+  private requestAllowance(box: number): void {
+    const waitingTokens = new Map<string, number>()
     for (const {organisation, amount} of this.waiting_[box] ?? []) {
       const name = `o${organisation}`
-      needs.set(name, (needs.get(name) ?? 0) + amount)
+      waitingTokens.set(name, (waitingTokens.get(name) ?? 0) + amount)
     }
-    this.way_.tick(box, needs)
-    if (needs.size > 0) this.agenda_.later(2 * LINK_MS + 0.1, () => this.look(box))
+    this.strategy_.tick(box, waitingTokens)
+    if (waitingTokens.size > 0)
+      this.agenda_.later(2 * LINK_MS + 0.1, () => this.chargeWaiting(box))
   }
 
-  private look(box: number): void {
+  private chargeWaiting(box: number): void {
     const {now} = this.agenda_
     const waiting = this.waiting_[box] ?? []
-    this.waiting_[box] = waiting.filter(each => {
-      const given = this.way_.charge(box, `o${each.organisation}`, each.amount)
-      if (given === true) this.use(each)
-      else if (given === false || now >= each.until) this.refuse(each)
+    this.waiting_[box] = waiting.filter(request => {
+      const isCharged = this.strategy_.charge(
+        box,
+        `o${request.organisation}`,
+        request.amount
+      )
+      if (isCharged === true) this.recordUse(request)
+      else if (isCharged === false || now >= request.until) this.recordRefusal(request)
       else return true
       return false
     })
   }
 
   private tick(box: number): void {
-    this.look(box)
-    this.ask(box)
+    this.chargeWaiting(box)
+    this.requestAllowance(box)
     this.agenda_.later(TICK_MS, () => this.tick(box))
   }
 
-  private use({organisation, amount}: Waiting): void {
+  private recordUse({organisation, amount}: Waiting): void {
     const {now} = this.agenda_
     this.uses_[organisation]?.push({at: now, amount})
   }
@@ -230,20 +248,20 @@
       const isHot = (at: number): boolean => demand(organisation, at) > LIMIT_FACTOR
       for (const {at, amount} of uses) if (isHot(at / 1000)) used += amount
       for (let at = 0; at < seconds; at++) {
-        if (isHot(at)) rate += this.usual(organisation) * LIMIT_FACTOR
+        if (isHot(at)) rate += this.usualPerSecond(organisation) * LIMIT_FACTOR
       }
     })
     return rate === 0 ? 0 : used / rate
   }
 
-  private refuse({organisation}: Waiting): void {
+  private recordRefusal({organisation}: Waiting): void {
     const {now} = this.agenda_
     if (this.options_.demand(organisation, now / 1000) <= 1) this.refused_++
   }
 
   private loseLeader(): void {
     this.leaderFrom_ = this.agenda_.now + TAKEOVER_MS
-    this.way_.changeLeader()
+    this.strategy_.changeLeader()
   }
 
   private killAll(): void {
@@ -251,17 +269,20 @@
     this.downUntil_ = now + RESTART_MS
     this.leaderFrom_ = now + RESTART_MS + TAKEOVER_MS
     for (let box = 0; box < this.options_.boxes; box++) {
-      this.way_.kill(box)
+      this.strategy_.kill(box)
       this.waiting_[box] = []
     }
-    this.way_.changeLeader()
+    this.strategy_.changeLeader()
   }
 
   private dropLinks(): void {
-    for (let box = 0; box < this.options_.boxes / 3; box++) this.way_.dropLink(box)
+    for (let box = 0; box < this.options_.boxes / 3; box++) this.strategy_.dropLink(box)
   }
 
-  /** The most in any window, of the limit in force as it began. */
+  /**
+   * Returns the largest usage in any window, as a share of the limit when the window
+   * began.
+   */
   private mostUsed(uses: readonly Use[], organisation: number): number {
     let first = 0
     let sum = 0
@@ -278,7 +299,7 @@
   }
 }
 
-function createWay(name: WayName, options: WayOptions): LimitWay {
+function createStrategy(name: WayName, options: WayOptions): LimitWay {
   switch (name) {
     case "fixed parts":
       return new FixedParts(options)
--- a/test/patterns/stale-loads.ts
+++ b/test/patterns/stale-loads.ts
@@ -1,12 +1,15 @@
 /**
- * A load pattern in one process, without a network: hot adapters on several engines each, and many boxes
- * that choose among them by loads that were told some time ago. The real core of each box and of their
- * leader runs under one simulated clock; engines read prompts one after the other.
+ * Load pattern in one process, without a network: hot adapters on several engines each,
+ * and many boxes that select among these engines by load reports that are some time old.
+ * The real core of each box and of their leader runs under one simulated clock; engines
+ * prefill prompts one after the other.
  *
- * Grounds for the figures, from a deployment of 195 boxes before 55 engines with 6 places: 238 requests a second and
- * 1.4 times that on a day of moved demand; adapters by Zipf 1.2; a prompt of 1,800 tokens of its own and
- * 568 shared, in one of 108 beginnings, which an engine that has read it for the adapter keeps; an
- * engine reads 19.2 tokens a millisecond; first answers are in time within 1,002 ms.
+ * The figures come from a deployment with 195 boxes in front of 55 engines with 6 slots:
+ * 238 requests per second, and 1.4 times that on a day of moved demand; adapters follow a
+ * Zipf distribution with exponent 1.2; a prompt has 1,800 tokens of its own and a shared
+ * prefix of 568, one of 108 prefixes, which an engine keeps in its cache after it has
+ * prefilled it for the adapter. An engine prefills 19.2 tokens per millisecond. A first
+ * token is on time within 1,002 ms.
  */
 import {createBoxServing} from "../../src/core/box-state.js"
 import {batchIntervalMs} from "../../src/core/placement-updates.js"
@@ -28,27 +31,27 @@
 
 export interface StaleLoadsResult {
   readonly requests: number
-  /** First answers later than the target. */
+  /** Requests whose first token came later than the target. */
   readonly late: number
   readonly medianMs: number
   readonly p99Ms: number
-  /** Work at the busiest engine against the mean. */
+  /** Work of the busiest engine, as a multiple of the mean. */
   readonly busiest: number
 }
 
-const PLACES = 6
+const SLOTS_PER_ENGINE = 6
 const ZIPF = 1.2
 const OWN_TOKENS = 1_800
 const SHARED_TOKENS = 568
-const BEGINNINGS = 108
-const TOKENS_PER_MS = 19.2
+const PREFIXES = 108
+const PREFILL_TOKENS_PER_MS = 19.2
 const TARGET_MS = 1_002
-const WRITE_MS = 250
-/** Requests before are played and not counted, milliseconds. */
+const OUTPUT_MS = 250
+/** Earlier requests are simulated but not counted. */
 const COUNT_FROM_MS = 3_000
 const RETRY = {ratio: 0.2, slack: 430, windowMs: 10_000}
 
-/** Plays the pattern. */
+/** Simulates the pattern. */
 export function playStaleLoads(options: StaleLoadsOptions): StaleLoadsResult {
   return new StaleLoads(options).play()
 }
@@ -58,14 +61,14 @@
   private readonly draw_
   private readonly boxes_: RoutedState[] = []
   private readonly uses_: UseCounts[] = []
-  /** When each engine has read all that reached it. */
+  /** Time at which each engine completes the prefill of all its requests. */
   private readonly freeAt_: number[]
   private readonly work_: number[]
   private readonly holders_: number[][]
   private readonly popularity_: number[]
-  private readonly beginningOf_ = new Map<string, string>()
-  /** What each engine has read, by adapter and beginning. */
-  private readonly kept_: Set<string>[]
+  private readonly prefixOf_ = new Map<string, string>()
+  /** Cached prefixes of each engine, by adapter and prefix. */
+  private readonly cachedPrefixes_: Set<string>[]
   private readonly arrivedAt_ = new Map<string, number>()
   private readonly waits_: number[] = []
   private requests_ = 0
@@ -74,9 +77,9 @@
     const {engines, seed} = options_
     this.draw_ = drawFrom(seed)
     this.freeAt_ = Array.from({length: engines}, () => 0)
-    this.kept_ = Array.from({length: engines}, () => new Set())
+    this.cachedPrefixes_ = Array.from({length: engines}, () => new Set())
     this.work_ = Array.from({length: engines}, () => 0)
-    const {holders, popularity} = placeByDemand(engines)
+    const {holders, popularity} = assignSlots(engines)
     this.holders_ = holders
     this.popularity_ = popularity
   }
@@ -85,11 +88,11 @@
     const {boxes, seconds} = this.options_
     for (let i = 0; i < boxes; i++) this.startBox(i)
     this.step(0, {type: "lead"})
-    for (let i = 0; i < boxes; i++) this.tickLater(i)
-    this.arriveLater()
+    for (let i = 0; i < boxes; i++) this.scheduleTick(i)
+    this.scheduleArrival()
     this.agenda_.runUntil(seconds * 1000)
     const waits = this.waits_.sort((a, b) => a - b)
-    const mean = this.work_.reduce((sum, each) => sum + each, 0) / this.work_.length
+    const mean = this.work_.reduce((sum, work) => sum + work, 0) / this.work_.length
     return {
       requests: waits.length,
       late: waits.filter(ms => ms > TARGET_MS).length,
@@ -111,41 +114,41 @@
     this.boxes_.push(state)
     this.uses_.push(new UseCounts())
     const records = Array.from({length: engines}, (_, i) => recordOf(i))
-    const places = records.map((_, engine) =>
+    const slots = records.map((_, engine) =>
       this.holders_.flatMap((holders, adapter) =>
         holders.includes(engine)
           ? [{adapter: `${MODEL}/a${adapter}`, version: 1, readyInMs: 0}]
           : []
       )
     )
-    const pictures = records.map(({id}, i) => ({
+    const snapshots = records.map(({id}, i) => ({
       engine: id,
       models: [MODEL],
-      places: places[i] ?? []
+      places: slots[i] ?? []
     }))
     const events: RoutedEvent[] = [
       {type: "config", config: CONFIG},
       {type: "backends", records, reading: {source: "store", readAt: 0}},
       {type: "boxes", boxes},
       {type: "orders", hasLeader: true, inMs: 0},
-      {type: "engines", engines: pictures}
+      {type: "engines", engines: snapshots}
     ]
     for (const event of events) stepRouted(state, event, 0)
   }
 
-  private tickLater(box: number): void {
+  private scheduleTick(box: number): void {
     const waitMs = nextTickMs(this.boxes_[box] as RoutedState)
     this.agenda_.later(waitMs, () => {
       this.step(box, {type: "tick", mayOrder: false})
-      this.tickLater(box)
+      this.scheduleTick(box)
     })
   }
 
-  private arriveLater(): void {
+  private scheduleArrival(): void {
     const gapMs = (-Math.log(1 - this.draw_()) * 1000) / this.options_.perSecond
     this.agenda_.later(gapMs, () => {
       this.arrive()
-      this.arriveLater()
+      this.scheduleArrival()
     })
   }
 
@@ -154,8 +157,8 @@
     this.arrivedAt_.set(id, this.agenda_.now)
     const box = Math.floor(this.draw_() * this.options_.boxes)
     const adapter = `a${drawIndex(this.popularity_, this.draw_())}`
-    const beginning = `b${Math.floor(this.draw_() * BEGINNINGS)}`
-    this.beginningOf_.set(id, `${adapter} ${beginning}`)
+    const prefix = `b${Math.floor(this.draw_() * PREFIXES)}`
+    this.prefixOf_.set(id, `${adapter} ${prefix}`)
     const arrival = {
       id,
       name: id,
@@ -164,7 +167,7 @@
       weights: {model: MODEL, adapter},
       tokens: OWN_TOKENS + SHARED_TOKENS,
       rank: ROUTE.priority,
-      prefix: {key: beginning, tokens: SHARED_TOKENS},
+      prefix: {key: prefix, tokens: SHARED_TOKENS},
       deadlineMs: 5_000
     }
     this.step(box, {type: "arrive", arrival})
@@ -180,20 +183,23 @@
     if (effect.type === "send") {
       return this.send(box, effect.id, effect.attempt, Number(effect.backend.id.slice(1)))
     }
-    if (effect.type === "use") return this.use(box, effect.change)
-    if (effect.type === "loads") this.tell(effect.loads)
-    // What stands where does not change here.
-    if (effect.type === "places" && effect.loads) this.tell(effect.loads)
+    if (effect.type === "use") return this.recordUse(box, effect.change)
+    if (effect.type === "loads") this.broadcastLoads(effect.loads)
+    // Slots do not change in this pattern.
+    if (effect.type === "places" && effect.loads) this.broadcastLoads(effect.loads)
   }
 
-  private tell(loads: PrefillBacklog): void {
+  private broadcastLoads(loads: PrefillBacklog): void {
     this.agenda_.later(LINK_MS, () => {
       for (let i = 0; i < this.boxes_.length; i++) this.step(i, {type: "loads", loads})
     })
   }
 
-  /** A box tells its leader of what it began and ended, as it does over its link. */
-  private use(box: number, change: Parameters<UseCounts["add"]>[0]): void {
+  /**
+   * Sends the usage deltas of a box to the leader in batches, as a box does over its
+   * link.
+   */
+  private recordUse(box: number, change: Parameters<UseCounts["add"]>[0]): void {
     const uses = this.uses_[box] as UseCounts
     if (!uses.add(change)) return
     this.agenda_.later(batchIntervalMs(this.options_.boxes) + LINK_MS, () => {
@@ -201,57 +207,61 @@
     })
   }
 
-  private tokensToRead(id: string, engine: number): number {
-    const kept = this.kept_[engine] as Set<string>
-    const beginning = this.beginningOf_.get(id) ?? ""
-    if (kept.has(beginning)) return OWN_TOKENS
-    kept.add(beginning)
+  private prefillTokens(id: string, engine: number): number {
+    const cached = this.cachedPrefixes_[engine] as Set<string>
+    const prefix = this.prefixOf_.get(id) ?? ""
+    if (cached.has(prefix)) return OWN_TOKENS
+    cached.add(prefix)
     return OWN_TOKENS + SHARED_TOKENS
   }
 
   private send(box: number, id: string, attempt: number, engine: number): void {
     const {now} = this.agenda_
     this.step(box, {type: "started", id, attempt})
-    const readMs = this.tokensToRead(id, engine) / TOKENS_PER_MS
-    const readAt = Math.max(now + LINK_MS, this.freeAt_[engine] ?? 0) + readMs
-    this.freeAt_[engine] = readAt
-    if (now >= COUNT_FROM_MS) this.work_[engine] = (this.work_[engine] ?? 0) + readMs
-    this.agenda_.later(readAt - now, () => {
+    const prefillMs = this.prefillTokens(id, engine) / PREFILL_TOKENS_PER_MS
+    const firstTokenAt = Math.max(now + LINK_MS, this.freeAt_[engine] ?? 0) + prefillMs
+    this.freeAt_[engine] = firstTokenAt
+    if (now >= COUNT_FROM_MS) this.work_[engine] = (this.work_[engine] ?? 0) + prefillMs
+    this.agenda_.later(firstTokenAt - now, () => {
       const arrivedAt = this.arrivedAt_.get(id) ?? 0
       if (arrivedAt >= COUNT_FROM_MS) this.waits_.push(this.agenda_.now - arrivedAt)
       this.step(box, {type: "heard", id, attempt})
     })
-    this.agenda_.later(readAt - now + WRITE_MS, () =>
+    this.agenda_.later(firstTokenAt - now + OUTPUT_MS, () =>
       this.step(box, {type: "done", id, attempt})
     )
   }
 }
 
-/** Which engines hold each adapter, where places follow demand, and how often each is asked for. */
-function placeByDemand(engines: number): {holders: number[][]; popularity: number[]} {
+/**
+ * Distributes the slots by demand. Returns the engines and the share of requests of each
+ * adapter.
+ */
+function assignSlots(engines: number): {holders: number[][]; popularity: number[]} {
   const adapters = engines * 3
   const weights = Array.from({length: adapters}, (_, i) => (i + 1) ** -ZIPF)
-  const total = weights.reduce((sum, each) => sum + each, 0)
-  const popularity = weights.map(each => each / total)
+  const total = weights.reduce((sum, weight) => sum + weight, 0)
+  const popularity = weights.map(weight => weight / total)
   const holders: number[][] = weights.map(() => [])
   const expected = Array.from({length: engines}, () => 0)
-  const taken = Array.from({length: engines}, () => 0)
-  for (let place = 0; place < engines * PLACES; place++) {
+  const usedSlots = Array.from({length: engines}, () => 0)
+  for (let slot = 0; slot < engines * SLOTS_PER_ENGINE; slot++) {
     const adapter =
-      place < adapters
-        ? place
+      slot < adapters
+        ? slot
         : argMax(popularity.map((p, i) => p / (holders[i]?.length ?? 1)))
     const held = holders[adapter] as number[]
     const share = (popularity[adapter] ?? 0) / (held.length + 1)
     const costs = expected.map((work, i) =>
-      (taken[i] ?? 0) >= PLACES || held.includes(i) ? Infinity : work
+      (usedSlots[i] ?? 0) >= SLOTS_PER_ENGINE || held.includes(i) ? Infinity : work
     )
     const engine = argMax(costs.map(cost => -cost))
     if (costs[engine] === Infinity) continue
-    for (const each of held) expected[each] = (expected[each] ?? 0) - share / held.length
+    for (const holder of held)
+      expected[holder] = (expected[holder] ?? 0) - share / held.length
     held.push(engine)
     expected[engine] = (expected[engine] ?? 0) + share
-    taken[engine] = (taken[engine] ?? 0) + 1
+    usedSlots[engine] = (usedSlots[engine] ?? 0) + 1
   }
   return {holders, popularity}
 }
--- a/test/shared-limits.test.ts
+++ b/test/shared-limits.test.ts
@@ -1,4 +1,7 @@
-/** One limit over many boxes: what is used at most, whoever is cut off, killed or leads. */
+/**
+ * Limits shared by many boxes are kept while boxes are cut off or killed and leaders
+ * change.
+ */
 import t from "tap"
 import {
   playSharedLimits,
@@ -6,7 +9,7 @@
   type SharedLimitsResult
 } from "./patterns/shared-limits.js"
 
-/** The largest organisation sends 7.5 times its usual from 5 s to 16 s; all others their usual. */
+/** The largest organisation sends 7.5 times its usual load from 5 s to 16 s. */
 const HOT: SharedLimitsOptions = {
   seed: 1,
   way: "allowances",
@@ -16,16 +19,16 @@
   demand: (organisation, at) => (organisation === 0 && at >= 5 && at < 16 ? 7.5 : 1)
 }
 
-/** Of requests of organisations that stay beneath their limits, this many may be refused where all is well. */
+/** Share of requests within the limits that may be refused while there are no faults. */
 const REFUSED_SHARE = 0.005
 
-const tell = ({
+const describe = ({
   mostUsed,
   refusedBeneath,
   hotUsed,
   messages
 }: SharedLimitsResult): string =>
-  `most used ${mostUsed.toFixed(3)} of the limit, refused beneath ${refusedBeneath.toFixed(4)}, ` +
+  `most used ${mostUsed.toFixed(3)} of the limit, refused below the limit ${refusedBeneath.toFixed(4)}, ` +
   `the hot one ${hotUsed.toFixed(2)} of its rate, ${messages.toFixed(1)} messages a box and second`
 
 const CASES: Readonly<Record<string, Partial<SharedLimitsOptions>>> = {
@@ -43,21 +46,27 @@
   t.test(`no limit is exceeded: ${name}`, async t => {
     for (const seed of [1, 2]) {
       const result = playSharedLimits({...HOT, ...more, seed})
-      t.comment(tell(result))
+      t.comment(describe(result))
       t.ok(result.mostUsed <= 1, `seed ${seed}: ${result.mostUsed}`)
     }
   })
 }
 
-t.test("those beneath their limits are not refused for a hot neighbour", async t => {
-  const result = playSharedLimits(HOT)
-  t.comment(tell(result))
-  t.ok(result.refusedBeneath < REFUSED_SHARE, `${result.refusedBeneath}`)
-  t.ok(result.hotUsed > 0.9, "the hot one gets what it may use")
-})
+t.test(
+  "organisations below their limits are not refused because of a hot one",
+  async t => {
+    const result = playSharedLimits(HOT)
+    t.comment(describe(result))
+    t.ok(result.refusedBeneath < REFUSED_SHARE, `${result.refusedBeneath}`)
+    t.ok(result.hotUsed > 0.9, "the hot organisation can use its rate")
+  }
+)
 
-t.test("a new leader costs those beneath their limits little", async t => {
-  const result = playSharedLimits({...HOT, leaderLostAt: [9]})
-  t.comment(tell(result))
-  t.ok(result.refusedBeneath < 0.08, `${result.refusedBeneath}`)
-})
+t.test(
+  "a new leader refuses few requests of organisations below their limits",
+  async t => {
+    const result = playSharedLimits({...HOT, leaderLostAt: [9]})
+    t.comment(describe(result))
+    t.ok(result.refusedBeneath < 0.08, `${result.refusedBeneath}`)
+  }
+)
--- a/test/stale-loads.test.ts
+++ b/test/stale-loads.test.ts
@@ -1,4 +1,7 @@
-/** Where work goes when many boxes choose by loads that were told some time ago. */
+/**
+ * Distribution of work when many boxes select engines by load reports that are some time
+ * old.
+ */
 import t from "tap"
 import {playStaleLoads, type StaleLoadsOptions} from "./patterns/stale-loads.js"
 
@@ -10,13 +13,13 @@
   seconds: 12
 }
 
-/** Of first answers, the part that may be late at three quarters of what the engines can read. */
+/** Share of first tokens that may be late at three quarters of the prefill capacity. */
 const LATE_SHARE = 0.02
 
 for (const boxes of [9, 75, 195]) {
   for (const seed of [1, 2]) {
     t.test(
-      `engines get what they can read in time, ${boxes} boxes, seed ${seed}`,
+      `engines receive no more than they can prefill in time, ${boxes} boxes, seed ${seed}`,
       async t => {
         const {requests, late, medianMs, p99Ms} = playStaleLoads({...LOAD, boxes, seed})
         t.comment(
