--- a/test/support/box-subject.ts
+++ b/test/support/box-subject.ts
@@ -1,4 +1,4 @@
-/** A box's serving state under test, with two backend servers, and what its requests bring about. */
+/** The serving state of a box with two backend servers, for tests of its effects. */
 import {tickRequests} from "../../src/core/box-clock.js"
 import {applyBackendList} from "../../src/core/backend-list.js"
 import type {AttemptFailure} from "../../src/core/box-attempt-failures.js"
@@ -46,7 +46,7 @@
   }
 }
 
-/** The box, its clock and the effects of the last call. */
+/** A box under test, its clock and the effects of the last call. */
 export class Subject {
   now = 1_000
   readonly box: BoxServing
@@ -97,7 +97,7 @@
     return this
   }
 
-  /** The effects of the last call that reach beyond the box, in short. */
+  /** Summarizes the effects of the last call that leave the box. */
   told(): string[] {
     return this.effects.flatMap(effect => {
       if (effect.type === "send") return [`send ${effect.attempt}`]
@@ -109,12 +109,14 @@
   }
 }
 
-/** Both backend servers hold the first version of the adapter. */
+/**
+ * Returns snapshots in which both backend servers hold the first version of the adapter.
+ */
 export function engines(): EngineSnapshot[] {
-  const place = {adapter: "m/x", version: 1, readyInMs: 0}
+  const slot = {adapter: "m/x", version: 1, readyInMs: 0}
   return ["one", "two"].map(engine => ({
     engine,
     models: ["m"],
-    places: [place]
+    places: [slot]
   }))
 }
--- a/test/support/caller.ts
+++ b/test/support/caller.ts
@@ -1,4 +1,6 @@
-/** A caller: sends requests as organisations do, and checks that what comes back is whole and its own. */
+/**
+ * A caller that sends requests as organisations do and parses the responses for checks.
+ */
 import {request} from "undici"
 import {agent, keyOf} from "./deployment.js"
 
@@ -8,7 +10,7 @@
   readonly organisation: string
   readonly tokens?: number
   readonly stream?: boolean
-  /** A chat completion. */
+  /** Whether to request a chat completion. */
   readonly chat?: boolean
   readonly class?: string
   /** Idempotency key. */
@@ -20,9 +22,10 @@
 }
 
 /**
- * What a caller saw. `broken`: a stream that ended in an explicit error. `cut`: the connection
- * failed, or an answer that was not whole ended as if it were. `unreached`: nothing listened, as
- * when a box has just been replaced and the balancer does not know yet.
+ * The result of a call, as the caller received it. `broken`: the stream ended in an
+ * explicit error. `cut`: the connection failed, or an incomplete response ended as if it
+ * were complete. `unreached`: the connection was refused, as happens when a box has just
+ * been replaced and the load balancer does not have the update yet.
  */
 export interface CallResult {
   readonly kind: "answered" | "refused" | "broken" | "cut" | "unreached"
@@ -30,7 +33,7 @@
   readonly code: string
   readonly outcome: string
   readonly retryAfter: string | undefined
-  /** The request id the engine put into every token. */
+  /** Request id that the engine put into each token. */
   readonly servedId: string
   readonly model: string
   readonly tokens: number
@@ -38,7 +41,7 @@
   readonly firstTokenMs: number
 }
 
-const NOTHING = {
+const EMPTY_RESULT = {
   status: 0,
   code: "",
   outcome: "",
@@ -49,7 +52,7 @@
   firstTokenMs: 0
 }
 
-/** Sends a completion request and reads the whole answer. */
+/** Sends a completion request and reads the complete response. */
 export async function callModel(options: CallOptions): Promise<CallResult> {
   const startedAt = performance.now()
   const elapsed = () => performance.now() - startedAt
@@ -81,13 +84,14 @@
         text += String(chunk)
       }
     } catch {
-      // The connection broke: what came before it tells whether an error was said.
+      // The connection broke. The text received so far shows whether an explicit error
+      // was sent.
     }
-    const read = options.stream === false ? readWhole(text) : readStream(text)
-    return {...NOTHING, ...read, status: 200, firstTokenMs, elapsedMs: elapsed()}
+    const parsed = options.stream === false ? readWhole(text) : readStream(text)
+    return {...EMPTY_RESULT, ...parsed, status: 200, firstTokenMs, elapsedMs: elapsed()}
   } catch (cause) {
-    const refused = (cause as NodeJS.ErrnoException).code === "ECONNREFUSED"
-    return {...NOTHING, kind: refused ? "unreached" : "cut", elapsedMs: elapsed()}
+    const isRefused = (cause as NodeJS.ErrnoException).code === "ECONNREFUSED"
+    return {...EMPTY_RESULT, kind: isRefused ? "unreached" : "cut", elapsedMs: elapsed()}
   }
 }
 
@@ -107,7 +111,7 @@
 ): Promise<Omit<CallResult, "elapsedMs">> {
   const body = (await answer.body.json()) as {code?: string; outcome?: string}
   return {
-    ...NOTHING,
+    ...EMPTY_RESULT,
     kind: "refused",
     status: answer.statusCode,
     code: body.code ?? "",
@@ -116,26 +120,26 @@
   }
 }
 
-type Read = Pick<CallResult, "kind" | "servedId" | "model" | "tokens">
+type ParsedAnswer = Pick<CallResult, "kind" | "servedId" | "model" | "tokens">
 
-function readStream(text: string): Read {
+function readStream(text: string): ParsedAnswer {
   const events = text.split("\n\n").flatMap(event => /^data: \{.*$/m.exec(event) ?? [])
-  const whole = text.endsWith("data: [DONE]\n\n") && !text.includes("event: error")
+  const isComplete = text.endsWith("data: [DONE]\n\n") && !text.includes("event: error")
   const parsed = events.map(event => JSON.parse(event.slice("data: ".length)))
   const ids = new Set(
     parsed.map(event => String(event.choices?.[0]?.text).trim().split("#")[0])
   )
   const models = new Set(parsed.map(event => String(event.model)))
-  const broken = text.includes("event: error")
+  const isBroken = text.includes("event: error")
   return {
-    kind: whole ? "answered" : broken ? "broken" : "cut",
+    kind: isComplete ? "answered" : isBroken ? "broken" : "cut",
     servedId: [...ids].join(","),
     model: [...models].join(","),
     tokens: events.length
   }
 }
 
-function readWhole(text: string): Read {
+function readWhole(text: string): ParsedAnswer {
   try {
     const body = JSON.parse(text)
     const servedId = String(body.choices[0].text).split(" ")[0] ?? ""
--- a/test/support/calls.ts
+++ b/test/support/calls.ts
@@ -1,4 +1,4 @@
-/** Calls of a test, kept for the oracle. */
+/** Sends the calls of a test and records them for the oracle. */
 import {callModel, type CallOptions, type CallResult} from "./caller.js"
 import type {Box, Deployment} from "./deployment.js"
 import {type Call, countViolations, judge, readEngines} from "./oracle.js"
@@ -13,7 +13,7 @@
 
   constructor(private readonly deployment_: Deployment) {}
 
-  /** Sends one request at a box. */
+  /** Sends a request to a box. */
   async send(box: Box, choice: CallChoice = {}): Promise<CallResult> {
     const model = choice.model ?? this.deployment_.models[0] ?? ""
     const tag = choice.tag ?? `call-${this.next_++}`
@@ -33,15 +33,15 @@
     return result
   }
 
-  /** Sends one request after the other at changing boxes until told to stop. */
+  /** Sends requests one at a time to alternating boxes until a promise settles. */
   async flow(
     boxes: () => readonly Box[],
     until: Promise<unknown>,
     models = 8
   ): Promise<void> {
-    let over = false
-    void until.finally(() => (over = true))
-    for (let count = 0; !over; count++) {
+    let isStopped = false
+    void until.finally(() => (isStopped = true))
+    for (let count = 0; !isStopped; count++) {
       const usable = boxes()
       const box = usable[count % usable.length]
       const model = this.deployment_.models[count % models]
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Times at which the engines began a request with the tag. */
+  /** Returns the times at which engines started a request with the tag. */
   async startsOf(tag: string): Promise<number[]> {
     const engines = await readEngines(this.deployment_)
     const lines = engines.flatMap(({log}) => log)
@@ -59,7 +59,7 @@
       .map(line => line.at)
   }
 
-  /** All violations the oracle finds, as text; empty when everything holds. */
+  /** Returns the violations that the oracle finds as text, or an empty string. */
   async violations(): Promise<string> {
     const found = judge(this.made, await readEngines(this.deployment_))
     return countViolations(found) === 0 ? "" : JSON.stringify(found)
--- a/test/support/cell.ts
+++ b/test/support/cell.ts
@@ -1,4 +1,6 @@
-/** A cell of the real core with engines that have adapters loaded, for tests of its decisions. */
+/**
+ * A cell of the real core whose engines have adapters loaded, for tests of its decisions.
+ */
 import {handleOrderResult, type OrderResult} from "../../src/core/cell-orders.js"
 import {queueRequest} from "../../src/core/cell-requests.js"
 import {syncEngines} from "../../src/core/cell-engines.js"
@@ -48,14 +50,16 @@
     for (const id of options_.engines) this.list(id)
   }
 
-  /** An engine's answer to a list. */
+  /** Applies an engine's response to a list order. */
   list(engine: string, listed: Listed = {}): void {
     const order = {order: "list", cacheAfter: 0} as const
     const result = {ok: true, models: this.options_.models, ...listed} as const
     handleOrderResult(this.cell, engine, order, result, NOW, DEFAULT_TIMING)
   }
 
-  /** Asks for a request and makes a pass; the engine it was granted. */
+  /**
+   * Queues a request, runs the scheduler and returns the engine that was granted, if any.
+   */
   place(request: string, ask: TestAsk = {}): string | undefined {
     queueRequest(this.cell, "entry-0", {
       t: "ask",
@@ -67,18 +71,18 @@
       prefix: ask.prefix ?? "",
       patienceMs: 60_000
     })
-    this.pass()
+    this.schedule()
     return this.cell.running.get(request)?.engine
   }
 
-  /** The names of the orders given so far. */
+  /** Returns the names of the orders sent so far. */
   orders(): string[] {
     return this.cell.effects.flatMap(effect =>
       effect.type === "order" ? [effect.order.order] : []
     )
   }
 
-  private pass(): void {
+  private schedule(): void {
     scheduleCell(this.cell, {
       config: this.options_.config ?? emptyConfiguration(),
       policy: this.options_.policy ?? BUILT_IN_POLICY,
--- a/test/support/child.ts
+++ b/test/support/child.ts
@@ -1,4 +1,4 @@
-/** Child processes of tests: started with node, ended by id, their output kept for reading. */
+/** Child processes of tests. Each is started with Node.js, and its output is kept. */
 import {type ChildProcess, spawn} from "node:child_process"
 import {once} from "node:events"
 import {fileURLToPath} from "node:url"
@@ -8,11 +8,11 @@
 
 export class Child {
   output = ""
-  /** `end` was called: its connections may break before its exit is seen. */
+  /** Whether `end` was called. Connections may break before the exit event arrives. */
   ending = false
   private readonly process_: ChildProcess
 
-  /** `script` is a path below the build's root. */
+  /** `script` is a path relative to the build root. */
   constructor(
     script: string,
     args: readonly string[],
@@ -22,11 +22,11 @@
       stdio: ["ignore", "pipe", "pipe"],
       env: {...process.env, NODE_OPTIONS: "", ...env}
     })
-    const keep = (chunk: Buffer) => {
+    const appendOutput = (chunk: Buffer) => {
       this.output = (this.output + chunk.toString()).slice(-MAX_OUTPUT)
     }
-    this.process_.stdout?.on("data", keep)
-    this.process_.stderr?.on("data", keep)
+    this.process_.stdout?.on("data", appendOutput)
+    this.process_.stderr?.on("data", appendOutput)
   }
 
   get pid(): number {
@@ -41,7 +41,7 @@
     return this.process_.exitCode !== null || this.process_.signalCode !== null
   }
 
-  /** The signal that ended it, if one did. */
+  /** Signal that ended the process. Null if there was none. */
   get endedBy(): NodeJS.Signals | null {
     return this.process_.signalCode
   }
--- a/test/support/core-sim.ts
+++ b/test/support/core-sim.ts
@@ -1,7 +1,8 @@
 /**
- * Whole boxes in one process under simulated time: the real core through `stepBox`, with a fake
- * engine that checks no fences, a fake key-value service, links that break and boxes that pause.
- * No network model: messages of a link come in order after a random delay, or not at all.
+ * Simulates whole boxes in one process under simulated time: the real core through
+ * `stepBox`, with a fake engine that does not check fencing tokens, a fake key-value
+ * service, links that break and boxes that pause. Without a network model: messages of a
+ * link arrive in order after a random delay, or not at all.
  */
 import {
   createBox,
@@ -26,13 +27,16 @@
 
 export interface SimOptions {
   readonly boxes: number
-  /** Boxes whose entry is in use. */
+  /** Number of boxes whose entry receives requests. */
   readonly entries: number
   readonly slots: number
   readonly models: number
-  /** One request after the other, and no time between an entry and the engine. */
+  /**
+   * Whether requests are sent one at a time, without a delay between an entry and the
+   * engine.
+   */
   readonly oneByOne: boolean
-  /** Is told what the specification knows too, of `TRACED`. */
+  /** Receives the steps of the adapter `TRACED` that the specification models, too. */
   readonly observe?: (what: Observation["what"], keeper: number) => void
 }
 
@@ -47,11 +51,11 @@
 /** The adapter whose steps are observed. */
 const TRACED = "base-a/a0@1"
 
-/** What an unload must satisfy, as the specification's guards have it. */
 export interface SimReport {
   readonly unloads: number
   readonly answered: number
   readonly takeovers: number
+  /** Unloads that violate a guard of the specification. */
   readonly violations: readonly string[]
 }
 
@@ -70,7 +74,7 @@
   private readonly boxes_: BoxState[] = []
   private readonly pausedUntil_: number[] = []
   private readonly leaseUntil_: number[] = []
-  /** Epoch of each link entry-keeper; a message of an older one is dropped. */
+  /** Epoch of each entry-keeper link. Messages of an older epoch are dropped. */
   private readonly links_ = new Map<string, number>()
   private readonly lastArrival_ = new Map<string, number>()
   private readonly shares_ = new Map<
@@ -93,12 +97,12 @@
     for (let box = 0; box < this.sim_.boxes; box++) this.addBox(box, seed)
   }
 
-  /** Runs for a simulated time and reports. */
+  /** Runs for the given simulated time. */
   run(forMs: number): SimReport {
     const end = this.now_ + forMs
     for (let box = 0; box < this.sim_.boxes; box++) this.start(box)
     this.every(150, () => this.sendRequest())
-    this.every(3_000, () => this.disturb())
+    this.every(3_000, () => this.injectFault())
     while (this.queue_.length > 0) {
       const next = this.queue_.reduce((a, b) =>
         a.at < b.at || (a.at === b.at && a.order < b.order) ? a : b
@@ -149,7 +153,7 @@
       this.post(box, {role: "keeper", event: {type: "tick", epochMs: this.now_}})
     })
     this.every(DEFAULT_TIMING.renewMs, () => this.renew(box))
-    this.every(200, () => this.showShares(box))
+    this.every(200, () => this.publishShares(box))
     if (box >= this.sim_.entries) return
     for (let keeper = 0; keeper < this.sim_.boxes; keeper++) this.connect(box, keeper)
   }
@@ -167,7 +171,7 @@
     })
   }
 
-  /** A paused box takes nothing until it goes on; what came meanwhile waits in its order. */
+  /** Delivers an event. Events of a paused box wait in order until it resumes. */
   private post(box: number, given: Parameters<typeof stepBox>[1]): void {
     const until = this.pausedUntil_[box] ?? 0
     if (until > this.now_)
@@ -180,7 +184,9 @@
     for (const effect of step.effects) this.perform(box, effect)
   }
 
-  /** Inventories and releases count when the keeper takes them, not when they come. */
+  /**
+   * Observes inventories and releases when the keeper accepts them, not when they arrive.
+   */
   private observeMessage(
     box: number,
     given: Parameters<typeof stepBox>[1],
@@ -202,15 +208,15 @@
 
   private renew(box: number): void {
     if ((this.pausedUntil_[box] ?? 0) > this.now_) return
-    const lapsed = (this.leaseUntil_[box] ?? 0) < this.now_
-    if (lapsed && this.leaseUntil_[box] !== 0) {
+    const isExpired = (this.leaseUntil_[box] ?? 0) < this.now_
+    if (isExpired && this.leaseUntil_[box] !== 0) {
       this.post(box, {role: "keeper", event: {type: "lease-lost"}})
     }
     this.leaseUntil_[box] = this.now_ + DEFAULT_TIMING.leaseTtlMs
     this.post(box, {role: "keeper", event: {type: "lease-renewed", sentAt: this.now_}})
   }
 
-  private showShares(box: number): void {
+  private publishShares(box: number): void {
     const record = {address: "", ops: "", dataCentre: "sala-a"}
     const keepers = new Map<string, typeof record>()
     const entries = new Map<string, typeof record>()
@@ -258,13 +264,13 @@
     this.after(500 + this.draw_() * 3_000, () => this.connect(entry, keeper))
   }
 
-  private carry(link: string, way: string, run: () => void): void {
+  private sendOverLink(link: string, direction: string, run: () => void): void {
     const epoch = this.links_.get(link)
     const from = Math.max(
       this.now_ + 1 + this.draw_() * 20,
-      this.lastArrival_.get(way) ?? 0
+      this.lastArrival_.get(direction) ?? 0
     )
-    this.lastArrival_.set(way, from)
+    this.lastArrival_.set(direction, from)
     this.after(from - this.now_, () => {
       if (this.links_.get(link) === epoch) run()
     })
@@ -280,14 +286,14 @@
       const {message} = effect
       if (message.t === "grant" && message.model === TRACED)
         this.sim_.observe?.("grant", box)
-      this.carry(`${entry}-${box}`, `k${box}-e${entry}`, () =>
+      this.sendOverLink(`${entry}-${box}`, `k${box}-e${entry}`, () =>
         this.post(entry, {
           role: "entry",
           event: {type: "message", from: `keeper-${box}`, message}
         })
       )
     } else if (effect.type === "order") {
-      this.takeOrder(box, effect)
+      this.executeOrder(box, effect)
     } else if (effect.type === "change-share") {
       this.changeShare(box, effect.change)
     } else if (effect.type === "took-share") {
@@ -324,7 +330,7 @@
     if (effect.type === "send") {
       const keeper = Number(effect.to.slice("keeper-".length))
       const {message} = effect
-      this.carry(`${box}-${keeper}`, `e${box}-k${keeper}`, () =>
+      this.sendOverLink(`${box}-${keeper}`, `e${box}-k${keeper}`, () =>
         this.post(keeper, {
           role: "keeper",
           event: {type: "message", from: `entry-${box}`, message}
@@ -372,17 +378,17 @@
   }
 
   private endRunning(attempt: string): boolean {
-    const ran = this.isTracedRunning()
-    const known = this.running_.delete(attempt)
-    if (ran && !this.isTracedRunning()) this.sim_.observe?.("ends", 0)
-    return known
+    const wasTracedRunning = this.isTracedRunning()
+    const wasRunning = this.running_.delete(attempt)
+    if (wasTracedRunning && !this.isTracedRunning()) this.sim_.observe?.("ends", 0)
+    return wasRunning
   }
 
   private isTracedRunning(): boolean {
     return [...this.running_.values()].some(({model}) => model === TRACED)
   }
 
-  private takeOrder(
+  private executeOrder(
     box: number,
     given: Extract<Extract<BoxEffect, {role: "keeper"}>["effect"], {type: "order"}>
   ): void {
@@ -398,7 +404,7 @@
         })
       )
     if (order.order === "unload") {
-      this.judgeLease(box, order.model)
+      this.checkLease(box, order.model)
       if (order.model === TRACED) this.sim_.observe?.("sendUnload", box)
     }
     const delay = order.order === "load" ? LOAD_MS : this.draw_() * 100
@@ -416,8 +422,8 @@
     })
   }
 
-  /** Guard `leaseCheck`, by the service's own view of the lease. */
-  private judgeLease(box: number, model: string): void {
+  /** Checks guard `leaseCheck` against the key-value service's view of the lease. */
+  private checkLease(box: number, model: string): void {
     if ((this.leaseUntil_[box] ?? 0) >= this.now_) return
     this.violations_.push(
       `keeper-${box} unloads ${model} without a lease at ${this.now_}`
@@ -439,8 +445,8 @@
   private sendRequest(): void {
     const model = `base-a/a${Math.floor(this.draw_() * this.sim_.models)}@1`
     const box = Math.floor(this.draw_() * this.sim_.entries)
-    const {requests, pendingCancels: endings} = (this.boxes_[box] as BoxState).entry
-    if (this.sim_.oneByOne && requests.size + endings.size > 0) return
+    const {requests, pendingCancels} = (this.boxes_[box] as BoxState).entry
+    if (this.sim_.oneByOne && requests.size + pendingCancels.size > 0) return
     const arrival = {
       request: `r${this.order_++}|${model}`,
       organisation: "cotejo",
@@ -453,7 +459,7 @@
     this.post(box, {role: "entry", event: {type: "arrive", arrival}})
   }
 
-  private disturb(): void {
+  private injectFault(): void {
     const {boxes, entries} = this.sim_
     const box = Math.floor(this.draw_() * boxes)
     const kind = this.draw_()
@@ -462,7 +468,7 @@
     else this.restartEngine()
   }
 
-  /** Connections break with it, as their entries notice. */
+  /** Clears the engine and fails its running requests at their entries. */
   private restartEngine(): void {
     this.sim_.observe?.("restart", 0)
     const broken = [...this.running_.values()]
--- a/test/support/judge-crashes.ts
+++ b/test/support/judge-crashes.ts
@@ -1,18 +1,20 @@
-/** Requests that crash backend servers: how often they may still reach one. */
+/** Checks how often requests that crash backend servers still reach one. */
 import type {Arrived, Judge} from "../stand-ins/platform-judge.js"
 
-/** All boxes know of the third crash after this. */
-const KNOWN_MS = 3_000
+/** Time within which all boxes have the report of the third crash. */
+const PROPAGATION_MS = 3_000
 
-/** Crashes under one request until it is stopped. */
+/** Number of crashes after which a request is quarantined. */
 const CRASHES = 3
 
-/** After that it reaches servers so often at most, over all boxes. */
-const MOST_AFTER = 3
+/**
+ * Largest number of times that a quarantined request may reach servers, over all boxes.
+ */
+const MAX_AFTER = 3
 
 /**
- * Returns what did not hold, a line for each such request. `counts`: whether an arrival counts, which is not so
- * where the box that sent it was not in touch.
+ * Returns a line for each request that reached servers too often. `counts` returns
+ * whether an arrival counts, which it does not if the box that sent it was disconnected.
  */
 export function judgeCrashes(
   {crashes, arrived}: Judge,
@@ -25,10 +27,10 @@
     if (!third) return []
     const after = arrived.filter(
       request =>
-        request.body === body && request.at > third.at + KNOWN_MS && counts(request)
+        request.body === body && request.at > third.at + PROPAGATION_MS && counts(request)
     )
-    if (after.length <= MOST_AFTER) return []
-    const lateMs = Math.round((after[MOST_AFTER]?.at ?? third.at) - third.at)
+    if (after.length <= MAX_AFTER) return []
+    const lateMs = Math.round((after[MAX_AFTER]?.at ?? third.at) - third.at)
     return [
       `${body} reached servers ${after.length} times after ${CRASHES} had crashed under it, ` +
         `${under.length} in all; the fourth time ${lateMs} ms after`
--- a/test/support/judge-notices.ts
+++ b/test/support/judge-notices.ts
@@ -1,72 +1,81 @@
-/** What backend servers said of themselves in their answers, and what their boxes sent them all the same. */
+/**
+ * Checks that boxes obey the notices (leaving, back-off) in the responses of backend
+ * servers.
+ */
 import type {Arrived, Judge} from "../stand-ins/platform-judge.js"
 
-/** From an answer that says that its server leaves, milliseconds. */
+/** Time after a notice of leaving within which requests may still be sent. */
 const DRAIN_MS = 2_000
 
-/** From an answer that asks for rest until it counts, milliseconds, and how many requests may come in it. */
-const REST_FROM_MS = 500
-const MOST_IN_REST = 2
+/** Time after a back-off request until it is binding. */
+const BACKOFF_BINDING_MS = 500
+/** Largest number of requests that may arrive during a back-off. */
+const MAX_DURING_BACKOFF = 2
 
-/** Of findings that are alike, those that are told. */
-const MOST_LINES = 3
+/** Largest number of findings of one kind that are reported. */
+const MAX_FINDINGS = 3
 
-/** A call of a caller: which box took it and when. */
+/** A call with the box that received it and the time it was sent. */
 export interface NoticedCall {
   readonly box: string
   readonly sentAt: number
 }
 
-/** A time in which a box was restarted, stood still or was cut off: nothing from before it counts. */
+/**
+ * Time at which a box was restarted, suspended or cut off. The box does not have to obey
+ * notices from before.
+ */
 export interface Excuse {
   readonly box: string
   readonly at: number
 }
 
 export interface NoticeRecord {
-  /** By the name of their requests. */
+  /** By request id. */
   readonly calls: ReadonlyMap<string, NoticedCall>
   readonly excuses: readonly Excuse[]
-  /** Lives of workers that began: what an earlier one said does not bind. */
+  /** Starts of worker incarnations. Notices of earlier incarnations are not binding. */
   readonly reborn: readonly {readonly worker: string; readonly at: number}[]
 }
 
-/** Returns what did not hold. */
+/** Returns a line for each notice that was not obeyed. */
 export function judgeNotices(judge: Judge, record: NoticeRecord): string[] {
-  return [...judgeLeaves(judge, record), ...judgeRests(judge, record)]
+  return [...findAfterLeave(judge, record), ...findDuringBackoff(judge, record)]
 }
 
-function judgeLeaves(judge: Judge, record: NoticeRecord): string[] {
+function findAfterLeave(judge: Judge, record: NoticeRecord): string[] {
   const found = judge.leaves.flatMap(({id, worker, at}) => {
     const box = record.calls.get(id)?.box
     if (box === undefined) return []
-    const late = arrivalsFrom(judge, record, box, worker).find(arrived => {
+    const lateArrival = arrivalsFrom(judge, record, box, worker).find(arrived => {
       const sentAt = record.calls.get(arrived.id)?.sentAt ?? -Infinity
       return sentAt > at + DRAIN_MS && !isExcused(record, box, worker, at, arrived.at)
     })
-    if (!late) return []
-    const afterMs = Math.round(late.at - at)
+    if (!lateArrival) return []
+    const afterMs = Math.round(lateArrival.at - at)
     return [
-      `${late.id} reached ${worker} from ${box} ${afterMs} ms after it said so: it leaves`
+      `${lateArrival.id} reached ${worker} from ${box} ${afterMs} ms after it said so: it leaves`
     ]
   })
-  return found.slice(0, MOST_LINES)
+  return found.slice(0, MAX_FINDINGS)
 }
 
-function judgeRests(judge: Judge, record: NoticeRecord): string[] {
+function findDuringBackoff(judge: Judge, record: NoticeRecord): string[] {
   const found = judge.rests.flatMap(({id, worker, at, seconds}) => {
     const box = record.calls.get(id)?.box
     if (box === undefined) return []
     const end = at + 1_000 * seconds
-    const inRest = arrivalsFrom(judge, record, box, worker).filter(
-      arrived => arrived.at > at + REST_FROM_MS && arrived.at < end
+    const duringBackoff = arrivalsFrom(judge, record, box, worker).filter(
+      arrived => arrived.at > at + BACKOFF_BINDING_MS && arrived.at < end
     )
-    const last = inRest.at(-1)
-    if (!last || inRest.length <= MOST_IN_REST) return []
+    const last = duringBackoff.at(-1)
+    if (!last || duringBackoff.length <= MAX_DURING_BACKOFF) return []
     if (isExcused(record, box, worker, at, last.at)) return []
-    return [`${worker} asked ${box} for ${seconds} s of rest and got ${inRest.length}`]
+    return [
+      `${worker} asked ${box} for ${seconds} s of rest and got ${duringBackoff.length}`
+    ]
   })
-  return found.slice(0, MOST_LINES)
+  return found.slice(0, MAX_FINDINGS)
 }
 
 function arrivalsFrom(
@@ -87,9 +96,9 @@
   from: number,
   to: number
 ): boolean {
-  const between = (at: number): boolean => at >= from - REST_FROM_MS && at <= to
+  const between = (at: number): boolean => at >= from - BACKOFF_BINDING_MS && at <= to
   return (
-    excuses.some(each => each.box === box && between(each.at)) ||
-    reborn.some(each => each.worker === worker && between(each.at))
+    excuses.some(excuse => excuse.box === box && between(excuse.at)) ||
+    reborn.some(start => start.worker === worker && between(start.at))
   )
 }
--- a/test/support/oracle.ts
+++ b/test/support/oracle.ts
@@ -1,19 +1,20 @@
-/** The oracle: judges by what callers saw and what backend servers logged, never by our word. */
+/** Test oracle. Uses only the responses of callers and the logs of backend servers. */
 import type {LogLine} from "../stand-ins/engine.js"
 import type {CallResult} from "./caller.js"
 import {type Deployment, getJson} from "./deployment.js"
 
-/** A call and what came of it. */
+/** A call and its result. */
 export interface Call {
-  /** The prompt, new for each request; calls that repeat an idempotency key share it. */
+  /** The prompt, unique per request. Calls with the same idempotency key share it. */
   readonly tag: string
   readonly organisation: string
   readonly model: string
   readonly tokens: number
+  /** Whether engines may run the request only once. */
   readonly once: boolean
   readonly sentAt: number
   readonly result: CallResult
-  /** The entry it was sent to was killed: the connection went with it. */
+  /** Whether the entry that received the call was killed, which broke the connection. */
   readonly entryDied?: boolean
 }
 
@@ -25,7 +26,7 @@
   readonly fills: readonly [string, {readonly tokens: number; readonly fill: number}][]
 }
 
-/** What must be empty, each with the evidence. */
+/** Evidence of violations. Each list is empty if the property holds. */
 export interface Violations {
   readonly wrongAdapter: string[]
   readonly wrongAnswer: string[]
@@ -35,7 +36,7 @@
   readonly unloadedInUse: string[]
 }
 
-/** The logs of all engines. */
+/** Reads the logs of all engines. */
 export async function readEngines(deployment: Deployment): Promise<EngineReport[]> {
   return Promise.all(
     deployment.engines.map(async engine => ({
@@ -45,7 +46,7 @@
   )
 }
 
-/** Everything that must never be. */
+/** Checks all calls against the logs of the engines. */
 export function judge(
   calls: readonly Call[],
   engines: readonly EngineReport[]
@@ -63,18 +64,18 @@
   const notRun = new Map<string, boolean>()
   for (const call of calls) {
     judgeAnswer(call, starts, servedIds, violations)
-    const alwaysNotRun = notRun.get(call.tag) ?? true
-    notRun.set(call.tag, alwaysNotRun && call.result.outcome === "not-run")
+    const isReportedNotRun = notRun.get(call.tag) ?? true
+    notRun.set(call.tag, isReportedNotRun && call.result.outcome === "not-run")
   }
-  for (const [tag, never] of notRun) {
-    if (never && starts.has(tag)) violations.falseNotRun.push(tag)
+  for (const [tag, isReportedNotRun] of notRun) {
+    if (isReportedNotRun && starts.has(tag)) violations.falseNotRun.push(tag)
   }
   judgeOnce(calls, starts, violations)
   judgeUnloads(engines, violations)
   return violations
 }
 
-/** The number of violations of any kind. */
+/** Returns the total number of violations. */
 export function countViolations(violations: Violations): number {
   return Object.values(violations).reduce((sum, list: string[]) => sum + list.length, 0)
 }
@@ -101,10 +102,10 @@
   if (result.kind === "cut" && !entryDied) violations.lost.push(tag)
   if (result.kind !== "answered") return
   if (result.model !== model) violations.wrongAdapter.push(tag)
-  const own = ran.some(line => line.id === result.servedId)
-  const again = servedIds.has(result.servedId)
+  const isOwn = ran.some(line => line.id === result.servedId)
+  const isDuplicate = servedIds.has(result.servedId)
   servedIds.add(result.servedId)
-  if (!own || again || result.tokens !== tokens) violations.wrongAnswer.push(tag)
+  if (!isOwn || isDuplicate || result.tokens !== tokens) violations.wrongAnswer.push(tag)
 }
 
 function judgeOnce(
@@ -127,7 +128,7 @@
   }
 }
 
-/** How long each answered call waited for its adapter to load, milliseconds. */
+/** Returns how long each call waited for its adapter to load (ms), by tag. */
 export function measureStalls(
   calls: readonly Call[],
   engines: readonly EngineReport[]
--- a/test/support/ports.ts
+++ b/test/support/ports.ts
@@ -1,45 +1,49 @@
 /**
- * Free ports outside the system's ephemeral range, so that no outgoing connection takes one. They come
- * in blocks, and a process keeps each block of its own by listening on its first port: between being
- * handed out and being listened on, a port is free to everybody else.
+ * Reserves free ports outside the system's ephemeral range, so that no outgoing
+ * connection uses one. Ports are reserved in blocks: a process holds a block while it
+ * listens on its first port. This prevents another process from using a port between its
+ * reservation and the first listen.
  */
 import {createServer} from "node:net"
 
-const FIRST = 12_000
-const BLOCK = 100
+const FIRST_PORT = 12_000
+const BLOCK_SIZE = 100
 const BLOCKS = 190
-/** Processes that start one after the other begin to look far from each other. */
+/** Processes with consecutive ids start their search for a block far apart. */
 const STRIDE = 37
 
 let block = (process.pid * STRIDE) % BLOCKS
-/** Ports of the block that were handed out, the first included; none is held at the start. */
-let used = BLOCK
+/**
+ * Number of ports used in the block, with the first. `BLOCK_SIZE` means that no block is
+ * held.
+ */
+let used = BLOCK_SIZE
 let claiming: Promise<void> | undefined
 
-/** A port on which nothing listens now, and which no other process is handed. */
+/** Returns a port on which no process listens and that no other process receives. */
 export async function freePort(): Promise<number> {
   for (;;) {
-    while (used === BLOCK) {
+    while (used === BLOCK_SIZE) {
       claiming ??= claimBlock().finally(() => (claiming = undefined))
       await claiming
     }
-    const port = FIRST + block * BLOCK + used++
+    const port = FIRST_PORT + block * BLOCK_SIZE + used++
     if (await canListen(port)) return port
   }
 }
 
 async function claimBlock(): Promise<void> {
-  for (let tried = 0; tried < BLOCKS; tried++) {
+  for (let attempts = 0; attempts < BLOCKS; attempts++) {
     block = (block + 1) % BLOCKS
-    if (await holdPort(FIRST + block * BLOCK)) {
+    if (await holdPort(FIRST_PORT + block * BLOCK_SIZE)) {
       used = 1
       return
     }
   }
-  throw new Error("no block of ports is free")
+  throw new Error(`all ${BLOCKS} blocks of ports are in use`)
 }
 
-/** Listens on a port for as long as the process lives; false: somebody does already. */
+/** Listens on a port until the process ends. Returns false if the port is in use. */
 function holdPort(port: number): Promise<boolean> {
   return new Promise(resolve => {
     const server = createServer()
--- a/test/support/suspendable-box.ts
+++ b/test/support/suspendable-box.ts
@@ -1,23 +1,26 @@
 /**
- * The program of a box on a machine that can be suspended, and whose time of day can be set. While a test stops the
- * process, the steady clock goes on; the test writes how long that was to a file before it lets the process go
- * on, and the clock leaves that out. The time of day goes on, as it does on a machine that is suspended.
+ * The program of a box on a machine that can be suspended and whose wall clock can be
+ * set. While a test stops the process, the monotonic clock continues. Before the test
+ * resumes the process, it writes the length of the pause to a file, and the monotonic
+ * clock subtracts it. The wall clock continues, as it does on a suspended machine.
  */
 import {openSync, readSync} from "node:fs"
 
 const file = openSync(process.env["CLOCKS_FILE"] ?? "", "r")
 const bytes = Buffer.alloc(64)
-const steady = performance.now.bind(performance)
-const timeOfDay = Date.now.bind(Date)
+const monotonicNow = performance.now.bind(performance)
+const wallClockNow = Date.now.bind(Date)
 
-/** Milliseconds that the steady clock leaves out, and that the time of day was set forward. */
+/** Returns the time to subtract from the monotonic clock and to add to the wall clock. */
 function readOffsets(): [suspendedMs: number, steppedMs: number] {
   const length = readSync(file, bytes, 0, bytes.length, 0)
   const [suspended, stepped] = bytes.toString("latin1", 0, length).split(" ")
   return [Number(suspended) || 0, Number(stepped) || 0]
 }
 
-Object.defineProperty(performance, "now", {value: () => steady() - readOffsets()[0]})
-Object.defineProperty(Date, "now", {value: () => timeOfDay() + readOffsets()[1]})
+Object.defineProperty(performance, "now", {
+  value: () => monotonicNow() - readOffsets()[0]
+})
+Object.defineProperty(Date, "now", {value: () => wallClockNow() + readOffsets()[1]})
 
 await import("../../platform/start.js")
--- a/test/support/take-ports.ts
+++ b/test/support/take-ports.ts
@@ -1,7 +1,11 @@
-/** Takes as many free ports as its argument says, tells them, and stays until it is ended. */
+/**
+ * Reserves the number of ports in its argument, sends them to its parent and runs until
+ * killed.
+ */
 import {freePort} from "./ports.js"
 
-// A process that listens to its parent lives until that ends it; what it holds alone does not keep it.
+// The listener keeps the process alive until its parent ends it. The block of ports is held
+// by an unreferenced server, which does not.
 process.on("message", () => undefined)
 
 const ports: number[] = []
--- a/test/support/trace-checker.ts
+++ b/test/support/trace-checker.ts
@@ -1,7 +1,8 @@
 /**
  * Checks a trace of the core, step by step, against the transitions of the ownership
- * specification. What a trace shows must be possible in at least one state the specification may
- * be in; what it cannot show, such as a lapse of a lease, may happen between any two steps.
+ * specification. Each observed step must be possible in at least one state of the
+ * specification that fits the trace so far. Steps that a trace cannot show, such as the
+ * expiry of a lease, may happen between any two observed steps.
  */
 import {
   type Action,
@@ -13,7 +14,7 @@
   type State
 } from "../model/ownership-spec.js"
 
-/** What can be seen of the core, for one engine and one adapter. */
+/** An observed step of the core, for one engine and one adapter. */
 export interface Observation {
   readonly what:
     | "claim"
@@ -31,7 +32,7 @@
 
 interface Rule {
   readonly types: readonly string[]
-  /** What must hold after the step; without it, the step must have changed something. */
+  /** Condition after the step. Undefined if the step must change the state. */
   readonly holds?: (state: State, keeper: 0 | 1) => boolean
 }
 
@@ -54,7 +55,7 @@
   restart: {types: ["restart"], holds: () => true}
 }
 
-/** Steps a trace does not show. */
+/** Actions of the specification that a trace does not show. */
 const HIDDEN: ReadonlySet<string> = new Set([
   "ownViewEnds",
   "leaseLapses",
@@ -76,10 +77,13 @@
   private states_ = new Map([[JSON.stringify(INITIAL), INITIAL]])
   private trace_: string[] = []
   steps = 0
-  /** The first step that no state allowed, with what led to it. */
+  /**
+   * The last steps before and with the first one that no state allowed. Undefined if
+   * there is none.
+   */
   violation: string | undefined
 
-  /** Takes the next step of the trace. */
+  /** Checks the next step of the trace. */
   observe({what, keeper}: Observation): void {
     if (this.violation !== undefined) return
     this.steps++
