--- a/test/access.test.ts
+++ b/test/access.test.ts
@@ -123,7 +123,7 @@
   subject.arrive(ROUTE, waiting)
   t.equal(box.requests.size, 1)
   box.table = buildRouteTable(configure([{...ONE, keys: [OTHER]}]))
-  subject.pass(20)
+  subject.advanceTime(20)
   t.match(
     subject.effects.find(({type}) => type === "end"),
     {reason: "denied"}
--- a/test/named-rate.test.ts
+++ b/test/advertised-rate.test.ts
@@ -4,10 +4,10 @@
  */
 import t from "tap"
 import {
-  type NamedRateOptions,
-  type NamedRateResult,
-  playNamedRate
-} from "./patterns/named-rate.js"
+  type AdvertisedRateOptions,
+  type AdvertisedRateResult,
+  simulateAdvertisedRate
+} from "./patterns/advertised-rate.js"
 
 const RATES = [0.2, 1.2, 20, 400]
 
@@ -21,7 +21,7 @@
 
 const STRATEGIES = ["allowances", "fixed parts", "few boxes"] as const
 
-const CASES: Readonly<Record<string, Partial<NamedRateOptions>>> = {
+const CASES: Readonly<Record<string, Partial<AdvertisedRateOptions>>> = {
   "callers at all boxes": {},
   "callers at one box": {oneBoxShare: 1},
   "half of the requests at one box": {oneBoxShare: 0.5},
@@ -39,7 +39,13 @@
 const CUT_SHARE = 0.2
 const CUT_REQUESTS = 2
 
-const describe = ({most, word, used, waitMs, messages}: NamedRateResult): string =>
+const describe = ({
+  most,
+  allowedRequests: word,
+  used,
+  waitMs,
+  messages
+}: AdvertisedRateResult): string =>
   `most ${most} in 4 s of ${word.toFixed(1)}, used ${used.toFixed(2)}, ` +
   `95 in 100 waited ${waitMs.toFixed(0)} ms, ${messages.toFixed(2)} messages a box and second`
 
@@ -48,14 +54,14 @@
     for (const perSecond of RATES) {
       for (const boxes of CASES_WITH_MANY_BOXES.has(name) ? MANY_BOXES : FEW_BOXES) {
         const options = {seed: 1, way: "allowances" as const, boxes, perSecond, ...more}
-        const result = playNamedRate(options)
+        const result = simulateAdvertisedRate(options)
         t.comment(`${perSecond} a second, ${boxes} boxes: ${describe(result)}`)
         const fallbackShares = more.cut
-          ? Math.max(CUT_REQUESTS, CUT_SHARE * result.word)
+          ? Math.max(CUT_REQUESTS, CUT_SHARE * result.allowedRequests)
           : 0
-        const limit = Math.ceil(result.word) + fallbackShares
+        const limit = Math.ceil(result.allowedRequests) + fallbackShares
         t.ok(result.most <= limit, `${result.most} of ${limit}`)
-        const allowed = 1.5 * result.word + 5
+        const allowed = 1.5 * result.allowedRequests + 5
         t.ok(
           result.mostAfterContact <= allowed,
           `${result.mostAfterContact} of ${allowed}`
@@ -86,7 +92,7 @@
           perSecond,
           oneBoxShare
         }
-        const result = playNamedRate({...options, demand: 6})
+        const result = simulateAdvertisedRate({...options, demand: 6})
         t.comment(`${perSecond} a second, ${boxes} boxes: ${describe(result)}`)
         t.ok(result.used >= used, `${result.used} used`)
       }
@@ -98,7 +104,13 @@
   for (const way of STRATEGIES) {
     for (const perSecond of RATES) {
       for (const oneBoxShare of [0, 1]) {
-        const result = playNamedRate({seed: 1, way, boxes: 18, perSecond, oneBoxShare})
+        const result = simulateAdvertisedRate({
+          seed: 1,
+          way,
+          boxes: 18,
+          perSecond,
+          oneBoxShare
+        })
         const where = oneBoxShare === 1 ? "one box" : "all boxes"
         t.comment(
           `${way}, ${perSecond} a second, callers at ${where}: ${describe(result)}`
--- a/test/box-requests.test.ts
+++ b/test/box-requests.test.ts
@@ -16,11 +16,21 @@
 import {STALE_MS} from "../src/core/snapshot-age.js"
 import {PrefixHistory} from "../src/core/prefix-history.js"
 import type {Route} from "../src/types/fleet.js"
-import {engines, record, ROUTE, STREAM, Subject, WEIGHTS} from "./support/box-subject.js"
+import {
+  loadedEngines,
+  record,
+  ROUTE,
+  STREAM,
+  Subject,
+  WEIGHTS
+} from "./support/box-subject.js"
 
 t.test("a request that was not sent, or was refused unrun, ends as not run", async t => {
-  t.same(new Subject(0).arrive(ROUTE).fail("not-sent").told(), ["abort", "end not-run"])
-  t.same(new Subject(0).arrive(ROUTE).start().fail("refused").told(), [
+  t.same(new Subject(0).arrive(ROUTE).fail("not-sent").summarizeEffects(), [
+    "abort",
+    "end not-run"
+  ])
+  t.same(new Subject(0).arrive(ROUTE).start().fail("refused").summarizeEffects(), [
     "abort",
     "end not-run"
   ])
@@ -30,12 +40,12 @@
   "a non-repeatable request that may have run ends with an unknown outcome",
   async t => {
     const unsafe: Route = {...ROUTE, kind: "unsafe", maxAttempts: 3}
-    t.same(new Subject().arrive(unsafe).start().fail("broken").told(), [
+    t.same(new Subject().arrive(unsafe).start().fail("broken").summarizeEffects(), [
       "abort",
       "end unknown"
     ])
     const once: Route = {...STREAM, resumable: false}
-    t.same(new Subject().arrive(once).start().fail("broken").told(), [
+    t.same(new Subject().arrive(once).start().fail("broken").summarizeEffects(), [
       "abort",
       "end unknown"
     ])
@@ -44,7 +54,9 @@
 
 t.test("a non-repeatable request is sent again after a refusal", async t => {
   const unsafe: Route = {...ROUTE, kind: "unsafe", maxAttempts: 1}
-  t.same(new Subject().arrive(unsafe).start().fail("refused").told(), ["send 2"])
+  t.same(new Subject().arrive(unsafe).start().fail("refused").summarizeEffects(), [
+    "send 2"
+  ])
 })
 
 t.test(
@@ -54,19 +66,22 @@
       .arrive({...ROUTE, maxAttempts: 5})
       .start()
       .fail("broken")
-    t.same(subject.told(), ["send 2"])
-    t.same(subject.start(2).fail("refused", 2).told(), ["abort", "end unknown"])
+    t.same(subject.summarizeEffects(), ["send 2"])
+    t.same(subject.start(2).fail("refused", 2).summarizeEffects(), [
+      "abort",
+      "end unknown"
+    ])
   }
 )
 
 t.test("a request gets no more attempts than its route allows", async t => {
   const subject = new Subject().arrive(ROUTE).start().fail("broken")
-  t.same(subject.told(), ["send 2"])
-  t.same(subject.start(2).fail("broken", 2).told(), ["abort", "end unknown"])
+  t.same(subject.summarizeEffects(), ["send 2"])
+  t.same(subject.start(2).fail("broken", 2).summarizeEffects(), ["abort", "end unknown"])
 })
 
 t.test("without a retry budget no request is retried", async t => {
-  t.same(new Subject(0).arrive(ROUTE).start().fail("broken").told(), [
+  t.same(new Subject(0).arrive(ROUTE).start().fail("broken").summarizeEffects(), [
     "abort",
     "end unknown"
   ])
@@ -75,28 +90,35 @@
 t.test("a request ends at the time limit of its route or its caller", async t => {
   const slow: Route = {...ROUTE, kind: "unsafe"}
   const short: Route = {...slow, timeoutMs: 700}
-  t.same(new Subject().arrive(short).start().pass(699).told(), [])
-  t.same(new Subject().arrive(short).start().pass(700).told(), ["abort", "end timeout"])
-  t.same(new Subject().arrive(slow, {deadlineMs: 500}).start().pass(500).told(), [
+  t.same(new Subject().arrive(short).start().advanceTime(699).summarizeEffects(), [])
+  t.same(new Subject().arrive(short).start().advanceTime(700).summarizeEffects(), [
     "abort",
     "end timeout"
   ])
+  t.same(
+    new Subject()
+      .arrive(slow, {deadlineMs: 500})
+      .start()
+      .advanceTime(500)
+      .summarizeEffects(),
+    ["abort", "end timeout"]
+  )
 })
 
 t.test("a broken stream is resumed after its last event on another server", async t => {
   const subject = new Subject()
-  applyFullSnapshot(subject.box, engines(), subject.now)
+  applyFullSnapshot(subject.box, loadedEngines(), subject.now)
   subject.arrive(STREAM, {weights: WEIGHTS}).start()
   handleAnswerBytes(subject.box, "q", 1, subject.now)
   handleAnswerHead(subject.box, "q", 1, {failed: false, streamed: true}, subject.now)
-  t.same(subject.drain().told(), ["pass"])
-  t.same(subject.fail("broken", 1, "12").told(), ["send 2"])
+  t.same(subject.drain().summarizeEffects(), ["pass"])
+  t.same(subject.fail("broken", 1, "12").summarizeEffects(), ["send 2"])
   const again = subject.effects.find(
     effect => effect.type === "note" && effect.event === "route-again"
   )
   t.match(again, {fields: {lastEventId: "12"}})
   t.same(
-    subject.start(2).fail("broken", 2, "14").told(),
+    subject.start(2).fail("broken", 2, "14").summarizeEffects(),
     ["abort", "cut"],
     "a partial answer must not look complete"
   )
@@ -105,7 +127,7 @@
 t.test("an answer that is not streamed does not continue a stream", async t => {
   const begun = (maxAttempts: number): Subject => {
     const subject = new Subject()
-    applyFullSnapshot(subject.box, engines(), subject.now)
+    applyFullSnapshot(subject.box, loadedEngines(), subject.now)
     subject.arrive({...STREAM, maxAttempts}, {weights: WEIGHTS}).start()
     handleAnswerHead(subject.box, "q", 1, {failed: false, streamed: true}, subject.now)
     subject.fail("broken", 1, "12").start(2)
@@ -113,25 +135,25 @@
   }
   const last = begun(2)
   handleAnswerHead(last.box, "q", 2, {failed: true, streamed: false}, last.now)
-  t.same(last.drain().told(), ["abort", "cut"], "it was the last attempt")
+  t.same(last.drain().summarizeEffects(), ["abort", "cut"], "it was the last attempt")
   const other = begun(3)
   handleAnswerHead(other.box, "q", 2, {failed: false, streamed: false}, other.now)
-  t.same(other.drain().told(), ["discard", "need"], "a third attempt follows")
+  t.same(other.drain().summarizeEffects(), ["discard", "need"], "a third attempt follows")
 })
 
 t.test("a request is aborted when its caller disconnects", async t => {
   const subject = new Subject().arrive(ROUTE).start()
   handleCallerDisconnect(subject.box, "q", subject.now)
-  t.same(subject.drain().told(), ["abort"])
+  t.same(subject.drain().summarizeEffects(), ["abort"])
   t.equal(subject.box.requests.size, 0)
 })
 
 t.test("a stopping box refuses waiting requests within 500 ms", async t => {
   const subject = new Subject().arrive(STREAM, {weights: WEIGHTS})
-  t.same(subject.told(), ["need"])
+  t.same(subject.summarizeEffects(), ["need"])
   stopServing(subject.box, subject.now)
-  t.same(subject.pass(499).told(), [])
-  t.same(subject.pass(1).told(), ["end not-run"])
+  t.same(subject.advanceTime(499).summarizeEffects(), [])
+  t.same(subject.advanceTime(1).summarizeEffects(), ["end not-run"])
 })
 
 // Guards against requests that are cut without an answer when their box exits.
@@ -140,12 +162,16 @@
   async t => {
     const subject = new Subject()
     stopServing(subject.box, subject.now)
-    t.same(subject.arrive(STREAM, {weights: WEIGHTS}).told(), ["need"])
-    t.same(subject.pass(499).told(), [])
-    t.same(subject.pass(1).told(), ["end not-run"])
+    t.same(subject.arrive(STREAM, {weights: WEIGHTS}).summarizeEffects(), ["need"])
+    t.same(subject.advanceTime(499).summarizeEffects(), [])
+    t.same(subject.advanceTime(1).summarizeEffects(), ["end not-run"])
     subject.now += 2_001
     const late = subject.arrive(ROUTE, {id: "late"})
-    t.same(late.told(), ["end not-run"], "not sent, since it might outlast the box")
+    t.same(
+      late.summarizeEffects(),
+      ["end not-run"],
+      "not sent, since it might outlast the box"
+    )
   }
 )
 
@@ -165,25 +191,25 @@
   const sent = subject.arrive(ROUTE).effects.find(effect => effect.type === "send")
   t.match(sent, {backend: {id: "two"}})
   leave(["one", "two"])
-  t.same(subject.arrive(ROUTE, {id: "later"}).told(), [])
+  t.same(subject.arrive(ROUTE, {id: "later"}).summarizeEffects(), [])
 })
 
 t.test(
   "a replaced version is still used shortly after the announcement of a newer one",
   async t => {
     const subject = new Subject()
-    applyFullSnapshot(subject.box, engines(), subject.now)
+    applyFullSnapshot(subject.box, loadedEngines(), subject.now)
     recordSnapshotTime(subject.box, subject.now)
     applyVersions(subject.box, [["m/x", 2]], subject.now)
     subject.now += 1_000
-    t.same(subject.arrive(STREAM, {weights: WEIGHTS}).told(), ["send 1"])
+    t.same(subject.arrive(STREAM, {weights: WEIGHTS}).summarizeEffects(), ["send 1"])
     const later = new Subject()
-    applyFullSnapshot(later.box, engines(), later.now)
+    applyFullSnapshot(later.box, loadedEngines(), later.now)
     recordSnapshotTime(later.box, later.now)
     applyVersions(later.box, [["m/x", 2]], later.now)
     later.now += 3_000
     recordSnapshotTime(later.box, later.now)
-    t.same(later.arrive(STREAM, {weights: WEIGHTS}).told(), ["need"])
+    t.same(later.arrive(STREAM, {weights: WEIGHTS}).summarizeEffects(), ["need"])
   }
 )
 
@@ -191,51 +217,59 @@
   "a version's age counts from its announcement, even if newer versions follow",
   async t => {
     const subject = new Subject()
-    applyFullSnapshot(subject.box, engines(), subject.now)
+    applyFullSnapshot(subject.box, loadedEngines(), subject.now)
     for (const version of [2, 3, 4]) {
       recordSnapshotTime(subject.box, subject.now)
       applyVersions(subject.box, [["m/x", version]], subject.now)
       subject.now += 400
     }
     t.same(
-      subject.arrive(STREAM, {weights: WEIGHTS}).told(),
+      subject.arrive(STREAM, {weights: WEIGHTS}).summarizeEffects(),
       ["send 1"],
       "1.2 s after the first"
     )
     subject.now += 1_400
     recordSnapshotTime(subject.box, subject.now)
     const late = subject.arrive(STREAM, {id: "q2", weights: WEIGHTS})
-    t.same(late.told(), ["need"], "2.6 s after the first, 1.8 s after the last")
+    t.same(
+      late.summarizeEffects(),
+      ["need"],
+      "2.6 s after the first, 1.8 s after the last"
+    )
   }
 )
 
 t.test("a delta adds and removes slots and keeps the others", async t => {
   const subject = new Subject()
-  applyFullSnapshot(subject.box, engines().slice(0, 1), subject.now)
+  applyFullSnapshot(subject.box, loadedEngines().slice(0, 1), subject.now)
   const coming = {adapter: "m/y", version: 1, readyInMs: 0}
   applyEngineDeltas(
     subject.box,
     [{engine: "one", places: [coming], gone: []}],
     subject.now
   )
-  t.same(subject.arrive(STREAM, {weights: WEIGHTS}).told(), ["send 1"])
+  t.same(subject.arrive(STREAM, {weights: WEIGHTS}).summarizeEffects(), ["send 1"])
   const gone = {engine: "one", places: [], gone: ["m/x"]}
   applyEngineDeltas(subject.box, [gone], subject.now)
-  t.same(subject.arrive(STREAM, {id: "q2", weights: WEIGHTS}).told(), ["need"])
+  t.same(subject.arrive(STREAM, {id: "q2", weights: WEIGHTS}).summarizeEffects(), [
+    "need"
+  ])
   const other = {model: "m", adapter: "y"}
-  t.same(subject.arrive(STREAM, {id: "q3", weights: other}).told(), ["send 1"])
+  t.same(subject.arrive(STREAM, {id: "q3", weights: other}).summarizeEffects(), [
+    "send 1"
+  ])
 })
 
 t.test("slots remain usable during a long silence of the leader", async t => {
   const subject = new Subject()
-  applyFullSnapshot(subject.box, engines(), subject.now)
+  applyFullSnapshot(subject.box, loadedEngines(), subject.now)
   subject.now += 60_000
-  t.same(subject.arrive(STREAM, {weights: WEIGHTS}).told(), ["send 1"])
+  t.same(subject.arrive(STREAM, {weights: WEIGHTS}).summarizeEffects(), ["send 1"])
 })
 
 t.test("load reports refer to engines by an order that is sent once", async t => {
   const subject = new Subject()
-  applyFullSnapshot(subject.box, engines(), subject.now)
+  applyFullSnapshot(subject.box, loadedEngines(), subject.now)
   applyEngineLoads(subject.box, {order: ["one", "two"], hundreds: [90, 0]})
   const backendOf = (id: string): string | undefined => {
     subject.arrive(STREAM, {id, weights: WEIGHTS})
@@ -259,7 +293,7 @@
     {source: "store", readAt: 0},
     0
   )
-  const [place] = engines()[0]?.places ?? []
+  const [place] = loadedEngines()[0]?.places ?? []
   const places = place ? [place] : []
   const held = names.map(engine => ({engine, models: ["m"], places}))
   applyFullSnapshot(subject.box, held, subject.now)
@@ -313,20 +347,20 @@
 // leader load the adapter on another engine, too.
 t.test("an engine with late weights is not listed as failed", async t => {
   const subject = new Subject()
-  const [first] = engines()
+  const [first] = loadedEngines()
   if (!first) return
   const coming = {...first, places: [{adapter: "m/x", version: 1, readyInMs: 100}]}
   applyFullSnapshot(subject.box, [coming], subject.now)
   subject.arrive(STREAM, {weights: WEIGHTS})
-  t.same(subject.pass(100).told(), ["send 1"])
-  t.same(subject.start().fail("misplaced").told(), ["need"])
+  t.same(subject.advanceTime(100).summarizeEffects(), ["send 1"])
+  t.same(subject.start().fail("misplaced").summarizeEffects(), ["need"])
   const need = subject.effects.find(effect => effect.type === "need")
   t.same(need?.type === "need" && need.need.failedAt, [])
 })
 
 t.test("an engine that lost its weights is listed as failed", async t => {
   const subject = new Subject()
-  applyFullSnapshot(subject.box, engines().slice(0, 1), subject.now)
+  applyFullSnapshot(subject.box, loadedEngines().slice(0, 1), subject.now)
   subject.arrive(STREAM, {weights: WEIGHTS}).start().fail("misplaced")
   const need = subject.effects.find(effect => effect.type === "need")
   t.same(need?.type === "need" && need.need.failedAt, ["one"])
@@ -338,7 +372,7 @@
     const subject = new Subject()
     subject.box.ordersFrom = subject.now + 2_000
     subject.arrive(STREAM, {weights: WEIGHTS})
-    t.same(subject.told(), ["end not-run"])
+    t.same(subject.summarizeEffects(), ["end not-run"])
     const end = subject.effects.find(effect => effect.type === "end")
     t.equal(
       end?.type === "end" && end.retryAfterMs,
@@ -346,17 +380,17 @@
       "the time until orders are possible"
     )
     subject.now += 2_000
-    t.same(subject.arrive(STREAM, {weights: WEIGHTS}).told(), ["need"])
+    t.same(subject.arrive(STREAM, {weights: WEIGHTS}).summarizeEffects(), ["need"])
   }
 )
 
 t.test("without a leader, the handover time of the next one counts", async t => {
   const subject = new Subject()
   subject.box.hasLeader = false
-  t.same(subject.arrive(STREAM, {weights: WEIGHTS}).told(), ["end not-run"])
-  applyFullSnapshot(subject.box, engines(), subject.now)
+  t.same(subject.arrive(STREAM, {weights: WEIGHTS}).summarizeEffects(), ["end not-run"])
+  applyFullSnapshot(subject.box, loadedEngines(), subject.now)
   t.same(
-    subject.arrive(STREAM, {weights: WEIGHTS}).told(),
+    subject.arrive(STREAM, {weights: WEIGHTS}).summarizeEffects(),
     ["send 1"],
     "an engine holds the adapter"
   )
@@ -366,37 +400,41 @@
   "a request that an engine had started does not fail when the leader is lost",
   async t => {
     const subject = new Subject()
-    applyFullSnapshot(subject.box, engines().slice(0, 1), subject.now)
+    applyFullSnapshot(subject.box, loadedEngines().slice(0, 1), subject.now)
     subject.arrive(STREAM, {weights: WEIGHTS}).start()
     subject.box.hasLeader = false
-    t.same(subject.fail("broken").told(), ["need"])
+    t.same(subject.fail("broken").summarizeEffects(), ["need"])
   }
 )
 
 t.test("a request waits for less time than its caller's patience", async t => {
   const patient: Route = {...STREAM, patienceMs: 2_000}
   const subject = new Subject().arrive(patient, {weights: WEIGHTS})
-  t.same(subject.pass(1_499).told(), [])
-  t.same(subject.pass(1).told(), ["end not-run"])
+  t.same(subject.advanceTime(1_499).summarizeEffects(), [])
+  t.same(subject.advanceTime(1).summarizeEffects(), ["end not-run"])
 })
 
 // After a process pause, requests that arrived meanwhile are handled with the old snapshot.
 t.test("a request waits and is not refused while the snapshot is stale", async t => {
   const subject = new Subject()
   recordSnapshotTime(subject.box, subject.now)
-  t.same(subject.pass(STALE_MS).arrive(ROUTE).told(), ["send 1"], "just recent enough")
+  t.same(
+    subject.advanceTime(STALE_MS).arrive(ROUTE).summarizeEffects(),
+    ["send 1"],
+    "just recent enough"
+  )
   const stale = new Subject()
   recordSnapshotTime(stale.box, stale.now)
   t.same(
     stale
-      .pass(STALE_MS + 1)
+      .advanceTime(STALE_MS + 1)
       .arrive(ROUTE)
-      .told(),
+      .summarizeEffects(),
     []
   )
-  t.same(stale.pass(100).told(), [])
+  t.same(stale.advanceTime(100).summarizeEffects(), [])
   recordSnapshotTime(stale.box, stale.now - 20)
-  t.same(stale.pass(0).told(), ["send 1"])
+  t.same(stale.advanceTime(0).summarizeEffects(), ["send 1"])
 })
 
 t.test("no request is retried while the snapshot is stale", async t => {
@@ -404,7 +442,7 @@
   recordSnapshotTime(subject.box, subject.now)
   subject.arrive(ROUTE).start()
   subject.now += STALE_MS + 1
-  t.same(subject.fail("refused").told(), [])
+  t.same(subject.fail("refused").summarizeEffects(), [])
   recordSnapshotTime(subject.box, subject.now)
-  t.same(subject.pass(0).told(), ["send 2"])
+  t.same(subject.advanceTime(0).summarizeEffects(), ["send 2"])
 })
--- a/test/box-suspensions.test.ts
+++ b/test/box-suspensions.test.ts
@@ -29,8 +29,8 @@
 t.test("a clock step does not shorten the time of a request in progress", async t => {
   const subject = new Subject().arrive(ROUTE).start()
   step(subject)
-  t.same(subject.pass(100).told(), [], "neither expired nor silent")
-  t.same(subject.pass(4_000).told(), ["abort", "end timeout"])
+  t.same(subject.advanceTime(100).summarizeEffects(), [], "neither expired nor silent")
+  t.same(subject.advanceTime(4_000).summarizeEffects(), ["abort", "end timeout"])
 })
 
 t.test("a clock step does not shorten a server's back-off", async t => {
@@ -40,7 +40,7 @@
     handleNotice(subject.box, server, said, subject.now, subject.now)
   }
   step(subject)
-  t.same(subject.arrive(ROUTE).told(), ["end not-run"])
+  t.same(subject.arrive(ROUTE).summarizeEffects(), ["end not-run"])
 })
 
 t.test("a clock step does not refill a window-based budget", async t => {
--- a/test/box-versions.test.ts
+++ b/test/box-versions.test.ts
@@ -5,12 +5,12 @@
 import {handleAnswerHead} from "../src/core/box-attempts.js"
 import type {BoxLogEvent, LogFields} from "../src/core/box-state.js"
 import {applyVersions} from "../src/core/box-versions.js"
-import {engines, STREAM, Subject, WEIGHTS} from "./support/box-subject.js"
+import {loadedEngines, STREAM, Subject, WEIGHTS} from "./support/box-subject.js"
 
 /** Returns a box whose snapshot is 700 ms old as it receives a newer version. */
 function hearingLate(): Subject {
   const subject = new Subject()
-  applyFullSnapshot(subject.box, engines(), subject.now)
+  applyFullSnapshot(subject.box, loadedEngines(), subject.now)
   recordSnapshotTime(subject.box, subject.now)
   subject.now += 700
   applyVersions(subject.box, [["m/x", 2]], subject.now)
--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -4,7 +4,7 @@
 import {
   type CrashingOptions,
   type CrashingResult,
-  playCrashing
+  simulateCrashingRequests
 } from "./patterns/crashing-requests.js"
 
 const LOAD: CrashingOptions = {
@@ -48,7 +48,7 @@
 for (const [name, options] of Object.entries(PATTERNS)) {
   for (const seed of [1, 2, 3]) {
     t.test(`${name}, seed ${seed}`, async t => {
-      const result = playCrashing({...LOAD, ...options, seed})
+      const result = simulateCrashingRequests({...LOAD, ...options, seed})
       const {lateReaches, others, refused, popularRefused} = result
       t.comment(describe(result))
       t.ok(lateReaches <= MOST_LATE, `${lateReaches} late`)
@@ -62,7 +62,7 @@
 for (const seed of [1, 2, 3, 4, 5]) {
   t.test(`servers that crash from the start, seed ${seed}`, async t => {
     const options = {...LOAD, guiltyFromMs: 0, guiltyPerSecond: 10, seed}
-    const result = playCrashing(options)
+    const result = simulateCrashingRequests(options)
     t.comment(describe(result))
     t.ok(result.lateReaches <= MOST_LATE, `${result.lateReaches} late`)
     t.equal(result.refusedAtEnd, 0, "no request is refused any more")
@@ -71,7 +71,7 @@
 
 t.test("a caller with ever new bodies uses bounded memory", async t => {
   const options = {...LOAD, madeUp: true, guiltyPerSecond: 20, servers: 40, seconds: 60}
-  const {records, popularRefused, crashes} = playCrashing(options)
+  const {records, popularRefused, crashes} = simulateCrashingRequests(options)
   t.comment(`${crashes} crashes, ${records} records`)
   t.ok(records <= MOST_RECORDS)
   t.equal(popularRefused, 0)
--- a/test/many-boxes.test.ts
+++ b/test/many-boxes.test.ts
@@ -1,6 +1,6 @@
 /** Retries and refusals when many boxes share one retry budget. */
 import t from "tap"
-import {type ManyBoxesOptions, playManyBoxes} from "./patterns/many-boxes.js"
+import {type ManyBoxesOptions, simulateManyBoxes} from "./patterns/many-boxes.js"
 
 const LOAD: ManyBoxesOptions = {
   seed: 1,
@@ -10,7 +10,7 @@
   perSecond: 238,
   seconds: 24,
   countFrom: 12,
-  turnedAway: 0.19,
+  rejectedShare: 0.19,
   leaderLostAt: Infinity
 }
 
@@ -23,7 +23,7 @@
   t.test(
     `callers are not refused while other boxes' share of retries is unused, seed ${seed}`,
     async t => {
-      const {requests, refused, budgetUsed} = playManyBoxes({...LOAD, seed})
+      const {requests, refused, budgetUsed} = simulateManyBoxes({...LOAD, seed})
       t.comment(
         `${refused} of ${requests} refused, ${budgetUsed.toFixed(2)} of the budget used`
       )
@@ -38,14 +38,14 @@
 t.test(
   "a new leader refuses fewer requests in its first ten seconds than boxes alone",
   async t => {
-    const {requests, refused} = playManyBoxes({...LOAD, seconds: 10, countFrom: 0})
+    const {requests, refused} = simulateManyBoxes({...LOAD, seconds: 10, countFrom: 0})
     t.comment(`${refused} of ${requests} refused`)
     t.ok(refused < requests * 0.04, `${refused} of ${requests} were refused`)
   }
 )
 
 t.test("the budget is kept when engines reject most requests", async t => {
-  const {requests, refused, budgetUsed} = playManyBoxes({...LOAD, turnedAway: 0.7})
+  const {requests, refused, budgetUsed} = simulateManyBoxes({...LOAD, rejectedShare: 0.7})
   t.comment(
     `${refused} of ${requests} refused, ${budgetUsed.toFixed(2)} of the budget used`
   )
@@ -54,7 +54,7 @@
 
 t.test("without an answer from the leader a box still has a fallback share", async t => {
   const lost = {...LOAD, leaderLostAt: 11}
-  const {requests, refused, budgetUsed} = playManyBoxes(lost)
+  const {requests, refused, budgetUsed} = simulateManyBoxes(lost)
   t.comment(
     `${refused} of ${requests} refused, ${budgetUsed.toFixed(2)} of the budget used`
   )
--- a/test/moved-demand.test.ts
+++ b/test/moved-demand.test.ts
@@ -3,7 +3,7 @@
  * continue.
  */
 import t from "tap"
-import {playMovedDemand, SLOW_MS} from "./patterns/moved-demand.js"
+import {simulateMovedDemand, SLOW_MS} from "./patterns/moved-demand.js"
 
 /**
  * Share of requests for newly hot adapters that may be slow, because further loads take
@@ -13,7 +13,7 @@
 
 for (const seed of [1, 2, 3]) {
   t.test(`newly hot adapters are loaded on more engines, seed ${seed}`, async t => {
-    const {hot, slow, loads} = playMovedDemand({
+    const {hot, slow, loads} = simulateMovedDemand({
       seed,
       engines: 98,
       coldPerSecond: 130,
--- a/test/patterns/named-rate.ts
+++ b/test/patterns/advertised-rate.ts
@@ -10,13 +10,19 @@
  */
 import {Agenda} from "./agenda.js"
 import {drawFrom, LINK_MS} from "./fleet.js"
-import {Allowances, FewBoxes, FixedParts, type RateWay, TICK_MS} from "./rate-ways.js"
+import {
+  Allowances,
+  FewBoxes,
+  FixedParts,
+  type RateStrategy,
+  TICK_MS
+} from "./rate-strategies.js"
 
-export type RateWayName = "fixed parts" | "allowances" | "few boxes"
+export type RateStrategyName = "fixed parts" | "allowances" | "few boxes"
 
-export interface NamedRateOptions {
+export interface AdvertisedRateOptions {
   readonly seed: number
-  readonly way: RateWayName
+  readonly way: RateStrategyName
   readonly boxes: number
   /** Advertised rate limit of the server (requests per second). */
   readonly perSecond: number
@@ -37,11 +43,11 @@
   readonly suspendedAt?: number
 }
 
-export interface NamedRateResult {
+export interface AdvertisedRateResult {
   /** Most requests in any span of 4 s that starts after the rate was advertised. */
   readonly most: number
   /** Requests that the rate allows in such a span. */
-  readonly word: number
+  readonly allowedRequests: number
   /**
    * Most requests in any span of 4 s that ends more than 3 s after the rate was
    * advertised, whenever it starts.
@@ -74,7 +80,9 @@
 const AFFECTED_SHARE = 1 / 3
 
 /** Simulates the pattern. */
-export function playNamedRate(options: NamedRateOptions): NamedRateResult {
+export function simulateAdvertisedRate(
+  options: AdvertisedRateOptions
+): AdvertisedRateResult {
   return new AdvertisedRate(options).play()
 }
 
@@ -85,7 +93,7 @@
 class AdvertisedRate {
   private readonly agenda_ = new Agenda()
   private readonly draw_: () => number
-  private readonly strategy_: RateWay
+  private readonly strategy_: RateStrategy
   private readonly waiting_: Waiting[][]
   private readonly isLimited_: boolean[]
   private readonly suspendedUntil_: number[]
@@ -94,7 +102,7 @@
   private leaderFrom_ = 0
   private isRateShared_ = false
 
-  constructor(private readonly options_: NamedRateOptions) {
+  constructor(private readonly options_: AdvertisedRateOptions) {
     const {boxes, seed, perSecond} = options_
     this.draw_ = drawFrom(seed)
     this.waiting_ = Array.from({length: boxes}, () => [])
@@ -109,21 +117,21 @@
     })
   }
 
-  play(): NamedRateResult {
+  play(): AdvertisedRateResult {
     const {agenda_, options_} = this
     const {leaderLostAt = [], killedAt, suspendedAt, boxes} = options_
     this.arrive()
     for (let box = 0; box < boxes; box++) {
-      agenda_.later((box * TICK_MS) / boxes, () => this.tick(box))
+      agenda_.schedule((box * TICK_MS) / boxes, () => this.tick(box))
     }
-    for (const at of leaderLostAt) agenda_.later(at * 1_000, () => this.loseLeader())
-    if (killedAt) agenda_.later(killedAt * 1_000, () => this.kill())
-    if (suspendedAt) agenda_.later(suspendedAt * 1_000, () => this.suspend())
+    for (const at of leaderLostAt) agenda_.schedule(at * 1_000, () => this.loseLeader())
+    if (killedAt) agenda_.schedule(killedAt * 1_000, () => this.kill())
+    if (suspendedAt) agenda_.schedule(suspendedAt * 1_000, () => this.suspend())
     agenda_.runUntil(END_S * 1_000)
     return this.summarize()
   }
 
-  private summarize(): NamedRateResult {
+  private summarize(): AdvertisedRateResult {
     const {perSecond, boxes} = this.options_
     const from = ADVERTISED_S * 1_000
     const contact = from + CONTACT_S * 1_000
@@ -132,7 +140,7 @@
     return {
       most: this.mostIn(({at}) => at >= from + ANSWER_MS + 10, 0),
       mostAfterContact: this.mostIn(() => true, contact),
-      word: perSecond * SPAN_S,
+      allowedRequests: perSecond * SPAN_S,
       used: after / (perSecond * (END_S - ADVERTISED_S - CONTACT_S)),
       waitMs: waits[Math.floor(waits.length * 0.95)] ?? 0,
       messages: this.strategy_.messages / boxes / END_S
@@ -168,7 +176,7 @@
   private arrive(): void {
     const {perSecond, demand = 2.5, oneBoxShare = 0, boxes} = this.options_
     const perMs = Math.max(2, perSecond * demand) / 1_000
-    this.agenda_.later(-Math.log(1 - this.draw_()) / perMs, () => {
+    this.agenda_.schedule(-Math.log(1 - this.draw_()) / perMs, () => {
       const isOne = this.draw_() < oneBoxShare
       this.request(isOne ? boxes - 1 : Math.floor(this.draw_() * boxes))
       this.arrive()
@@ -179,10 +187,10 @@
     const {now} = this.agenda_
     if (now < (this.suspendedUntil_[box] ?? 0)) return
     if (!this.isLimited_[box]) {
-      this.strategy_.noteFree(box)
+      this.strategy_.recordSend(box)
       this.sent_.push({at: now, waitMs: 0})
       if (now >= ADVERTISED_S * 1_000)
-        this.agenda_.later(ANSWER_MS, () => this.shareRate(box))
+        this.agenda_.schedule(ANSWER_MS, () => this.shareRate(box))
       return
     }
     if (this.waiting_[box]?.length === 0 && this.strategy_.send(box)) {
@@ -199,7 +207,7 @@
     this.limitBox(box)
     if (this.isRateShared_ || !this.reaches(box)) return
     this.isRateShared_ = true
-    this.agenda_.later(2 * LINK_MS, () => {
+    this.agenda_.schedule(2 * LINK_MS, () => {
       for (let other = 0; other < this.options_.boxes; other++) this.limitBox(other)
     })
   }
@@ -207,7 +215,7 @@
   private limitBox(box: number): void {
     if (this.isLimited_[box]) return
     this.isLimited_[box] = true
-    this.strategy_.bind(box)
+    this.strategy_.applyRate(box)
   }
 
   private sendWaiting(box: number): void {
@@ -222,19 +230,19 @@
     const newest = this.waiting_[box]?.at(-1)
     const waitMs = newest ? newest.since + HOLD_MS - now : 0
     const need = {count: this.waiting_[box]?.length ?? 0, rank: 1, waitMs}
-    this.strategy_.ask(box, need, () =>
-      this.agenda_.later(0.01, () => this.sendWaiting(box))
+    this.strategy_.requestAllowance(box, need, () =>
+      this.agenda_.schedule(0.01, () => this.sendWaiting(box))
     )
   }
 
   private tick(box: number): void {
     if (this.isLimited_[box]) this.sendWaiting(box)
-    this.agenda_.later(TICK_MS, () => this.tick(box))
+    this.agenda_.schedule(TICK_MS, () => this.tick(box))
   }
 
   private loseLeader(): void {
     this.leaderFrom_ = this.agenda_.now + TAKEOVER_MS
-    this.agenda_.later(TAKEOVER_MS, () => this.strategy_.changeLeader())
+    this.agenda_.schedule(TAKEOVER_MS, () => this.strategy_.changeLeader())
   }
 
   private kill(): void {
@@ -242,7 +250,7 @@
       this.strategy_.kill(box)
       this.waiting_[box] = []
       // The leader sends the rate when the box connects again.
-      this.strategy_.bind(box)
+      this.strategy_.applyRate(box)
     })
   }
 
@@ -258,9 +266,9 @@
 }
 
 function createStrategy(
-  name: RateWayName,
+  name: RateStrategyName,
   options: ConstructorParameters<typeof Allowances>[0]
-): RateWay {
+): RateStrategy {
   switch (name) {
     case "fixed parts":
       return new FixedParts(options)
--- a/test/patterns/agenda.ts
+++ b/test/patterns/agenda.ts
@@ -14,7 +14,7 @@
   private readonly actions_: ScheduledAction[] = []
 
   /** Schedules an action to run after the given delay (ms). */
-  later(ms: number, act: () => void): void {
+  schedule(ms: number, act: () => void): void {
     const due = {at: this.now + ms, act}
     let low = 0
     let high = this.actions_.length
--- a/test/patterns/crashing-requests.ts
+++ b/test/patterns/crashing-requests.ts
@@ -95,7 +95,7 @@
   readonly running: Set<Running>
 }
 
-export function playCrashing(options: CrashingOptions): CrashingResult {
+export function simulateCrashingRequests(options: CrashingOptions): CrashingResult {
   return new Crashing(options).play()
 }
 
@@ -127,10 +127,10 @@
     this.step(0, {type: "lead"})
     for (let i = 0; i < boxes; i++) this.scheduleTick(i)
     this.scheduleArrival()
-    this.agenda_.later(guiltyFromMs, () => {
+    this.agenda_.schedule(guiltyFromMs, () => {
       for (let i = 0; i < guilty; i++) this.scheduleGuiltyArrival(`guilty-${i}`)
     })
-    for (const at of resetsAt) this.agenda_.later(at, () => this.resetAll())
+    for (const at of resetsAt) this.agenda_.schedule(at, () => this.resetAll())
     this.agenda_.runUntil(seconds * 1000)
     return {
       crashes: [...this.crashedAt_.values()].reduce(
@@ -181,7 +181,7 @@
 
   private scheduleTick(index: number): void {
     const state = this.boxes_[index] as RoutedState
-    this.agenda_.later(nextTickMs(state), () => {
+    this.agenda_.schedule(nextTickMs(state), () => {
       this.step(index, {type: "tick", mayOrder: false})
       this.records_ = Math.max(this.records_, state.serving.crashes.size)
       this.scheduleTick(index)
@@ -189,7 +189,7 @@
   }
 
   private scheduleArrival(): void {
-    this.agenda_.later(
+    this.agenda_.schedule(
       (-Math.log(1 - this.draw_()) * 1000) / this.options_.perSecond,
       () => {
         this.others_++
@@ -202,7 +202,7 @@
 
   private scheduleGuiltyArrival(name: string): void {
     const waitMs = (-Math.log(1 - this.draw_()) * 1000) / this.options_.guiltyPerSecond
-    this.agenda_.later(waitMs, () => {
+    this.agenda_.schedule(waitMs, () => {
       this.send(this.options_.madeUp ? `${name}-${this.requests_}` : name, 1)
       this.scheduleGuiltyArrival(name)
     })
@@ -236,13 +236,13 @@
   private perform(box: number, effect: RoutedEffect): void {
     switch (effect.type) {
       case "send":
-        return this.agenda_.later(LINK_MS, () =>
+        return this.agenda_.schedule(LINK_MS, () =>
           this.deliver(box, effect.id, effect.attempt, effect.backend)
         )
       case "probe": {
         const {id, server} = effect.backend
         const up = this.serverOf(server).up
-        return this.agenda_.later(2 * LINK_MS, () =>
+        return this.agenda_.schedule(2 * LINK_MS, () =>
           this.step(box, {type: "probed", backend: id, up})
         )
       }
@@ -261,12 +261,12 @@
   ): void {
     if (this.isLeaderAway()) return
     if (box !== 0) {
-      return this.agenda_.later(LINK_MS, () =>
+      return this.agenda_.schedule(LINK_MS, () =>
         this.step(0, {type: "crashes", changes, source: "box"})
       )
     }
     for (let i = 1; i < this.boxes_.length; i++) {
-      this.agenda_.later(LINK_MS, () =>
+      this.agenda_.schedule(LINK_MS, () =>
         this.step(i, {type: "crashes", changes, source: "leader"})
       )
     }
@@ -280,7 +280,7 @@
     const [from, to] = this.options_.leaderAway ?? [Infinity, Infinity]
     const {now} = this.agenda_
     if (now < from || now >= to) return false
-    this.agenda_.later(to - now, () => {
+    this.agenda_.schedule(to - now, () => {
       const leader = this.boxes_[0] as RoutedState
       const records = leader.serving.crashes.toMessages(this.agenda_.now)
       for (let i = 1; i < this.boxes_.length; i++) {
@@ -311,11 +311,11 @@
     target.running.add(running)
     if (fingerprint.startsWith("guilty")) {
       this.countDelivery(fingerprint)
-      return this.agenda_.later(CRASH_AFTER_MS, () => {
+      return this.agenda_.schedule(CRASH_AFTER_MS, () => {
         if (target.running.has(running)) this.crash(target, fingerprint)
       })
     }
-    this.agenda_.later(40 + 260 * this.draw_(), () => {
+    this.agenda_.schedule(40 + 260 * this.draw_(), () => {
       if (!target.running.delete(running)) return
       this.step(box, {type: "done", id, attempt})
     })
@@ -333,7 +333,7 @@
     this.crashedAt_.set(fingerprint, [...crashes, this.agenda_.now])
     server.up = false
     this.breakAll(server)
-    this.agenda_.later(2_000 + 2_000 * this.draw_(), () => {
+    this.agenda_.schedule(2_000 + 2_000 * this.draw_(), () => {
       server.up = true
       server.incarnation++
       for (let i = 0; i < this.boxes_.length; i++) this.listServers(i)
@@ -348,7 +348,7 @@
     const interrupted = [...server.running]
     server.running.clear()
     for (const {box, id, attempt} of interrupted) {
-      this.agenda_.later(LINK_MS, () =>
+      this.agenda_.schedule(LINK_MS, () =>
         this.step(box, {
           type: "failed",
           id,
@@ -370,6 +370,6 @@
     }
     const tries = Number(id.slice(id.lastIndexOf(" ") + 1))
     if (tries > 1)
-      this.agenda_.later(RETRY_DELAY_MS, () => this.send(fingerprint, tries - 1))
+      this.agenda_.schedule(RETRY_DELAY_MS, () => this.send(fingerprint, tries - 1))
   }
 }
--- a/test/patterns/limit-ways.ts
+++ b/test/patterns/limit-strategies.ts
@@ -15,7 +15,7 @@
 /** Interval at which a box checks its allowances. */
 export const TICK_MS = 100
 
-export interface WayOptions {
+export interface LimitStrategyOptions {
   readonly agenda: Agenda
   readonly boxes: number
   readonly usage: UsageOptions
@@ -26,7 +26,7 @@
 }
 
 /** A strategy to keep the limits. */
-export interface LimitWay {
+export interface LimitStrategy {
   /** Number of messages between boxes so far. */
   readonly messages: number
   /**
@@ -66,12 +66,12 @@
  * Each box may use an equal part of the limit, whatever the others use. A box that starts
  * waits for one window.
  */
-export class FixedParts implements LimitWay {
+export class FixedParts implements LimitStrategy {
   readonly messages = 0
   private readonly windows_: Windows[]
   private readonly from_: number[]
 
-  constructor(private readonly options_: WayOptions) {
+  constructor(private readonly options_: LimitStrategyOptions) {
     const {boxes, usage} = options_
     this.windows_ = Array.from({length: boxes}, () => new Windows(usage.windowMs))
     this.from_ = Array.from({length: boxes}, () => -Infinity)
@@ -108,7 +108,7 @@
  * Boxes report their usage to the leader every second, and it replies with the share to
  * admit.
  */
-export class Estimates implements LimitWay {
+export class Estimates implements LimitStrategy {
   messages = 0
   private sums_: Windows
   private readonly used_: Map<string, number>[]
@@ -116,7 +116,7 @@
   private readonly reportedAt_: number[]
   private draws_ = 1
 
-  constructor(private readonly options_: WayOptions) {
+  constructor(private readonly options_: LimitStrategyOptions) {
     const {boxes, usage} = options_
     this.sums_ = new Windows(usage.windowMs)
     this.used_ = Array.from({length: boxes}, () => new Map())
@@ -143,12 +143,12 @@
     if (!reaches(box)) return
     this.messages += 2
     const used = this.used_[box] as Map<string, number>
-    agenda.later(LINK_MS, () => {
+    agenda.schedule(LINK_MS, () => {
       for (const [organisation, amount] of used) {
         this.sums_.add(organisation, amount, agenda.now)
       }
       used.clear()
-      agenda.later(LINK_MS, () => {
+      agenda.schedule(LINK_MS, () => {
         for (const [organisation, limit] of limits()) {
           const sum = this.sums_.sum(organisation, agenda.now)
           const rate = Math.max(1, sum / usage.windowMs)
@@ -172,14 +172,14 @@
 }
 
 /** The strategy that boxes use, on their real core. */
-export class Allowances implements LimitWay {
+export class Allowances implements LimitStrategy {
   messages = 0
   stored: UsageProjections = {}
   private readonly pools_: AllowancePool[]
   private ledger_: UsageLedger | undefined
   private term_ = 0
 
-  constructor(private readonly options_: WayOptions) {
+  constructor(private readonly options_: LimitStrategyOptions) {
     this.pools_ = Array.from({length: options_.boxes}, () => new AllowancePool())
     this.startTerm()
   }
@@ -200,7 +200,7 @@
     const {ask, entries} = collected
     this.messages++
     const term = this.term_
-    agenda.later(LINK_MS, () => {
+    agenda.schedule(LINK_MS, () => {
       if (term === this.term_)
         this.ledger_?.handleUsage(String(box), ask, entries, agenda.now)
     })
@@ -232,7 +232,7 @@
     const {agenda} = this.options_
     const ledger = this.ledger_
     if (effect.type === "allow") return this.sendGrants(effect)
-    agenda.later(STORE_MS, () => {
+    agenda.schedule(STORE_MS, () => {
       if (term !== this.term_) return
       if (effect.type === "read-usage")
         return ledger?.handleStored(this.stored, agenda.now)
@@ -246,7 +246,7 @@
     const to = Number(box)
     this.messages++
     const pool = this.pools_[to]
-    agenda.later(LINK_MS, () => {
+    agenda.schedule(LINK_MS, () => {
       if (reaches(to) && pool === this.pools_[to])
         pool?.handleGrants(ask, grants, agenda.now)
     })
--- a/test/patterns/many-boxes.ts
+++ b/test/patterns/many-boxes.ts
@@ -26,7 +26,7 @@
   /** Earlier requests are simulated but not counted as served or refused (seconds). */
   readonly countFrom: number
   /** Share of the requests reaching an engine that it rejects. */
-  readonly turnedAway: number
+  readonly rejectedShare: number
   /**
    * Time from which the leader does not answer (seconds). `Infinity` means it always
    * answers.
@@ -58,7 +58,7 @@
 }
 
 /** Simulates the pattern. */
-export function playManyBoxes(options: ManyBoxesOptions): ManyBoxesResult {
+export function simulateManyBoxes(options: ManyBoxesOptions): ManyBoxesResult {
   return new ManyBoxes(options).play()
 }
 
@@ -129,7 +129,7 @@
 
   private scheduleTick(box: number): void {
     const waitMs = nextTickMs(this.boxes_[box] as RoutedState)
-    this.agenda_.later(waitMs * (0.5 + this.draw_()), () => {
+    this.agenda_.schedule(waitMs * (0.5 + this.draw_()), () => {
       this.step(box, {type: "tick", mayOrder: false})
       this.scheduleTick(box)
     })
@@ -137,7 +137,7 @@
 
   private scheduleArrival(): void {
     const gap = (-Math.log(1 - this.draw_()) * 1000) / this.options_.perSecond
-    this.agenda_.later(gap, () => {
+    this.agenda_.schedule(gap, () => {
       this.arrive()
       this.scheduleArrival()
     })
@@ -182,15 +182,15 @@
   /** Sends a message between the leader, which is box 0, and another box. */
   private sendMessage(to: number, message: object): void {
     if (this.agenda_.now >= this.options_.leaderLostAt * 1000) return
-    this.agenda_.later(LINK_MS, () => this.step(to, message as RoutedEvent))
+    this.agenda_.schedule(LINK_MS, () => this.step(to, message as RoutedEvent))
   }
 
   private send(box: number, id: string, attempt: number): void {
     if (attempt > 1) this.retriedAt_.push(this.agenda_.now)
     this.step(box, {type: "started", id, attempt})
-    const isRejected = this.draw_() < this.options_.turnedAway
+    const isRejected = this.draw_() < this.options_.rejectedShare
     if (isRejected) {
-      return this.agenda_.later(ENGINE_MS, () =>
+      return this.agenda_.schedule(ENGINE_MS, () =>
         this.step(box, {
           type: "failed",
           id,
@@ -200,8 +200,8 @@
         })
       )
     }
-    this.agenda_.later(ENGINE_MS, () => this.step(box, {type: "heard", id, attempt}))
-    this.agenda_.later(RUN_MS, () => {
+    this.agenda_.schedule(ENGINE_MS, () => this.step(box, {type: "heard", id, attempt}))
+    this.agenda_.schedule(RUN_MS, () => {
       if (this.isCounting) this.served_++
       this.step(box, {type: "done", id, attempt})
     })
--- a/test/patterns/moved-demand.ts
+++ b/test/patterns/moved-demand.ts
@@ -76,7 +76,7 @@
 }
 
 /** Simulates the pattern. */
-export function playMovedDemand(options: MovedDemandOptions): MovedDemandResult {
+export function simulateMovedDemand(options: MovedDemandOptions): MovedDemandResult {
   return new MovedDemand(options).play()
 }
 
@@ -120,7 +120,7 @@
     const {seconds, hotPerSecond} = this.options_
     this.plan()
     this.startColdDemand()
-    this.agenda_.later(WARM_UP_S * 1000, () => {
+    this.agenda_.schedule(WARM_UP_S * 1000, () => {
       hotPerSecond.forEach((perSecond, i) => this.startHotDemand(`hot-${i}`, perSecond))
     })
     this.agenda_.runUntil((WARM_UP_S + seconds) * 1000)
@@ -134,7 +134,7 @@
   }
 
   private every(perSecond: number, act: () => void): void {
-    this.agenda_.later((-Math.log(1 - this.draw()) / perSecond) * 1000, () => {
+    this.agenda_.schedule((-Math.log(1 - this.draw()) / perSecond) * 1000, () => {
       act()
       this.every(perSecond, act)
     })
@@ -143,12 +143,12 @@
   private plan(): void {
     planFleet(this.fleet_, true, this.agenda_.now)
     for (const effect of drainFleet(this.fleet_)) this.perform(effect)
-    this.agenda_.later(PLAN_MS, () => this.plan())
+    this.agenda_.schedule(PLAN_MS, () => this.plan())
   }
 
   private perform(effect: FleetEffect): void {
     if (effect.type === "ask")
-      this.agenda_.later(REPORT_MS, () => this.report(effect.engine))
+      this.agenda_.schedule(REPORT_MS, () => this.report(effect.engine))
     if (effect.type !== "order") return
     const {engine: id, order} = effect
     const engine = this.engines_.get(id) as Engine
@@ -158,13 +158,13 @@
     else {
       this.loads_++
       engine.pending.add(name)
-      this.agenda_.later(LOAD_MS, () => {
+      this.agenda_.schedule(LOAD_MS, () => {
         engine.pending.delete(name)
         engine.held.add(name)
       })
     }
     const result = order.operation === "unload" ? "done" : "accepted"
-    this.agenda_.later(ORDER_MS, () =>
+    this.agenda_.schedule(ORDER_MS, () =>
       handleOrderResult(this.fleet_, id, result, this.agenda_.now)
     )
   }
@@ -211,7 +211,7 @@
   }
 
   private retryLater(request: string, adapter: string, isHot: boolean): void {
-    this.agenda_.later(PLAN_MS, () => {
+    this.agenda_.schedule(PLAN_MS, () => {
       if (this.send(adapter, isHot)) removeWeightsRequest(this.fleet_, "box", request)
       else this.retryLater(request, adapter, isHot)
     })
@@ -258,7 +258,7 @@
     adapter: string,
     use: {readonly begun: number; readonly ended: number; readonly tokens: number}
   ): void {
-    this.agenda_.later(afterMs + USE_REPORT_MS, () => {
+    this.agenda_.schedule(afterMs + USE_REPORT_MS, () => {
       const change = {engine, adapter: `${MODEL}/${adapter}`, ...use}
       applyUseDeltas(this.fleet_, "box", [change], this.agenda_.now)
     })
--- a/test/patterns/rate-ways.ts
+++ b/test/patterns/rate-strategies.ts
@@ -13,7 +13,7 @@
 /** Interval at which a box checks its waiting requests. */
 export const TICK_MS = 20
 
-export interface RateWayOptions {
+export interface RateStrategyOptions {
   readonly agenda: Agenda
   readonly boxes: number
   /** Advertised rate limit of the server (requests per second). */
@@ -23,13 +23,13 @@
   readonly reaches: (box: number) => boolean
 }
 
-export interface RateWay {
+export interface RateStrategy {
   /** Number of messages between boxes so far. */
   readonly messages: number
   /** Records a send of a box. */
-  noteFree(box: number): void
+  recordSend(box: number): void
   /** Limits the box to the advertised rate from now on. */
-  bind(box: number): void
+  applyRate(box: number): void
   /** Sends a request if it may be sent now. */
   send(box: number): boolean
   /**
@@ -37,7 +37,7 @@
    */
   fullForMs(box: number): number
   /** Called once per tick and when a request starts to wait. */
-  ask(box: number, need: SendDemand, changed: () => void): void
+  requestAllowance(box: number, need: SendDemand, changed: () => void): void
   /** Discards the state of the box. */
   kill(box: number): void
   changeLeader(): void
@@ -68,18 +68,18 @@
 }
 
 /** Each box in `members` has an equal part of the rate, and other boxes have none. */
-class PartitionedRate implements RateWay {
+class PartitionedRate implements RateStrategy {
   readonly messages = 0
   private readonly buckets_ = new Map<number, TokenBucket>()
 
   constructor(
-    private readonly options_: RateWayOptions,
+    private readonly options_: RateStrategyOptions,
     private readonly members_: ReadonlySet<number>
   ) {}
 
-  noteFree(): void {}
+  recordSend(): void {}
 
-  bind(box: number): void {
+  applyRate(box: number): void {
     const {agenda, perSecond, draw} = this.options_
     if (!this.members_.has(box)) return
     const intervalMs = (1_000 * this.members_.size) / perSecond
@@ -94,7 +94,7 @@
     return this.buckets_.get(box)?.dueInMs ?? Infinity
   }
 
-  ask(): void {}
+  requestAllowance(): void {}
 
   kill(box: number): void {
     this.buckets_.delete(box)
@@ -105,7 +105,7 @@
 
 /** Each box has an equal part of the rate. */
 export class FixedParts extends PartitionedRate {
-  constructor(options: RateWayOptions) {
+  constructor(options: RateStrategyOptions) {
     super(options, new Set(Array.from({length: options.boxes}, (_, box) => box)))
   }
 }
@@ -118,7 +118,7 @@
  * box.
  */
 export class FewBoxes extends PartitionedRate {
-  constructor(options: RateWayOptions) {
+  constructor(options: RateStrategyOptions) {
     const {boxes, perSecond} = options
     const names = Array.from({length: boxes}, (_, box) => String(box))
     const few = Math.min(boxes, Math.max(1, Math.floor(perSecond / MIN_PART_PER_SECOND)))
@@ -129,25 +129,25 @@
 const SERVER = "server"
 
 /** The strategy that boxes use, on their real core. */
-export class Allowances implements RateWay {
+export class Allowances implements RateStrategy {
   messages = 0
   private readonly boxes_: SendAllowances[]
   private readonly sent_: RecentSends[]
   private pacer_: RatePacer
   private term_ = 0
 
-  constructor(private readonly options_: RateWayOptions) {
+  constructor(private readonly options_: RateStrategyOptions) {
     const length = options_.boxes
     this.boxes_ = Array.from({length}, () => new SendAllowances())
     this.sent_ = Array.from({length}, () => new RecentSends())
     this.pacer_ = this.createPacer()
   }
 
-  noteFree(box: number): void {
+  recordSend(box: number): void {
     this.sent_[box]?.record(SERVER, this.options_.agenda.now)
   }
 
-  bind(box: number): void {
+  applyRate(box: number): void {
     this.reportSends(box)
   }
 
@@ -157,7 +157,7 @@
     allowances?.recordDemand(SERVER, now)
     if (!allowances?.holds(SERVER, now)) return false
     allowances.use(SERVER, now)
-    this.noteFree(box)
+    this.recordSend(box)
     return true
   }
 
@@ -165,7 +165,7 @@
     return this.boxes_[box]?.fullForMs(SERVER, this.options_.agenda.now) ?? 0
   }
 
-  ask(box: number, need: SendDemand, changed: () => void): void {
+  requestAllowance(box: number, need: SendDemand, changed: () => void): void {
     const {agenda, reaches, draw, boxes, perSecond} = this.options_
     const allowances = this.boxes_[box] as SendAllowances
     if (allowances.isLeaderSilent(SERVER, agenda.now) && need.count > 0) {
@@ -180,11 +180,11 @@
     if (!ask || !reaches(box)) return
     this.messages++
     const term = this.term_
-    agenda.later(LINK_MS, () => {
+    agenda.schedule(LINK_MS, () => {
       if (term !== this.term_) return
       const grant = this.pacer_.handleRequest(String(box), ask, agenda.now)
       this.messages++
-      agenda.later(LINK_MS, () => {
+      agenda.schedule(LINK_MS, () => {
         if (!reaches(box) || allowances !== this.boxes_[box]) return
         if (allowances.handleGrant(grant, agenda.now)) changed()
       })
@@ -211,7 +211,7 @@
     const counts = this.sent_[box]?.list(SERVER, agenda.now) ?? []
     if (counts.length === 0 || !reaches(box)) return
     this.messages++
-    agenda.later(LINK_MS, () =>
+    agenda.schedule(LINK_MS, () =>
       this.pacer_.recordSent({server: SERVER, counts}, agenda.now)
     )
   }
--- a/test/patterns/shared-limits.ts
+++ b/test/patterns/shared-limits.ts
@@ -17,16 +17,16 @@
   Allowances,
   Estimates,
   FixedParts,
-  type LimitWay,
+  type LimitStrategy,
   TICK_MS,
-  type WayOptions
-} from "./limit-ways.js"
+  type LimitStrategyOptions
+} from "./limit-strategies.js"
 
-export type WayName = "fixed parts" | "estimates" | "allowances"
+export type LimitStrategyName = "fixed parts" | "estimates" | "allowances"
 
 export interface SharedLimitsOptions {
   readonly seed: number
-  readonly way: WayName
+  readonly way: LimitStrategyName
   readonly boxes: number
   readonly seconds: number
   /** Usual usage of all organisations together (tokens per second). */
@@ -53,7 +53,7 @@
    * Share refused of the requests that organisations sent while at or below their usual
    * load.
    */
-  readonly refusedBeneath: number
+  readonly refusedBelowLimit: number
   /**
    * Usage of organisations over their limits, as a share of their rates. 0 means there
    * were none.
@@ -82,7 +82,7 @@
 const SILENCE_MS = 2_500
 
 /** Simulates the pattern. */
-export function playSharedLimits(options: SharedLimitsOptions): SharedLimitsResult {
+export function simulateSharedLimits(options: SharedLimitsOptions): SharedLimitsResult {
   return new SharedLimits(options).play()
 }
 
@@ -99,7 +99,7 @@
 
 class SharedLimits {
   private readonly agenda_ = new Agenda()
-  private readonly strategy_: LimitWay
+  private readonly strategy_: LimitStrategy
   private readonly uses_ = Array.from({length: ORGANISATIONS}, () => [] as Use[])
   private readonly waiting_: Waiting[][]
   private readonly shares_: number[]
@@ -128,15 +128,16 @@
     const {seconds, boxes, leaderLostAt = [], allKilledAt = [], cut} = this.options_
     for (let i = 0; i < ORGANISATIONS; i++) this.arrive(i)
     for (let box = 0; box < boxes; box++) {
-      this.agenda_.later((box * TICK_MS) / boxes, () => this.tick(box))
+      this.agenda_.schedule((box * TICK_MS) / boxes, () => this.tick(box))
     }
-    for (const at of leaderLostAt) this.agenda_.later(at * 1000, () => this.loseLeader())
-    for (const at of allKilledAt) this.agenda_.later(at * 1000, () => this.killAll())
-    if (cut) this.agenda_.later(cut[0] * 1000 + SILENCE_MS, () => this.dropLinks())
+    for (const at of leaderLostAt)
+      this.agenda_.schedule(at * 1000, () => this.loseLeader())
+    for (const at of allKilledAt) this.agenda_.schedule(at * 1000, () => this.killAll())
+    if (cut) this.agenda_.schedule(cut[0] * 1000 + SILENCE_MS, () => this.dropLinks())
     this.agenda_.runUntil(seconds * 1000)
     return {
       mostUsed: Math.max(...this.uses_.map((uses, i) => this.mostUsed(uses, i))),
-      refusedBeneath: this.refused_ / Math.max(1, this.requests_),
+      refusedBelowLimit: this.refused_ / Math.max(1, this.requests_),
       hotUsed: this.hotUsed(),
       messages: this.strategy_.messages / boxes / seconds
     }
@@ -178,7 +179,7 @@
     const demand = options_.demand(organisation, agenda_.now / 1000)
     const mean = REQUEST_TOKENS * (1 - PLAIN_SHARE) + PLAIN_TOKENS * PLAIN_SHARE
     const perMs = (this.usualPerSecond(organisation) * demand) / mean / 1000
-    agenda_.later(-Math.log(1 - this.draw()) / perMs, () => {
+    agenda_.schedule(-Math.log(1 - this.draw()) / perMs, () => {
       this.request(organisation, demand)
       this.arrive(organisation)
     })
@@ -210,7 +211,7 @@
     }
     this.strategy_.tick(box, waitingTokens)
     if (waitingTokens.size > 0)
-      this.agenda_.later(2 * LINK_MS + 0.1, () => this.chargeWaiting(box))
+      this.agenda_.schedule(2 * LINK_MS + 0.1, () => this.chargeWaiting(box))
   }
 
   private chargeWaiting(box: number): void {
@@ -232,7 +233,7 @@
   private tick(box: number): void {
     this.chargeWaiting(box)
     this.requestAllowance(box)
-    this.agenda_.later(TICK_MS, () => this.tick(box))
+    this.agenda_.schedule(TICK_MS, () => this.tick(box))
   }
 
   private recordUse({organisation, amount}: Waiting): void {
@@ -299,7 +300,10 @@
   }
 }
 
-function createStrategy(name: WayName, options: WayOptions): LimitWay {
+function createStrategy(
+  name: LimitStrategyName,
+  options: LimitStrategyOptions
+): LimitStrategy {
   switch (name) {
     case "fixed parts":
       return new FixedParts(options)
--- a/test/patterns/stale-loads.ts
+++ b/test/patterns/stale-loads.ts
@@ -52,7 +52,7 @@
 const RETRY = {ratio: 0.2, slack: 430, windowMs: 10_000}
 
 /** Simulates the pattern. */
-export function playStaleLoads(options: StaleLoadsOptions): StaleLoadsResult {
+export function simulateStaleLoads(options: StaleLoadsOptions): StaleLoadsResult {
   return new StaleLoads(options).play()
 }
 
@@ -138,7 +138,7 @@
 
   private scheduleTick(box: number): void {
     const waitMs = nextTickMs(this.boxes_[box] as RoutedState)
-    this.agenda_.later(waitMs, () => {
+    this.agenda_.schedule(waitMs, () => {
       this.step(box, {type: "tick", mayOrder: false})
       this.scheduleTick(box)
     })
@@ -146,7 +146,7 @@
 
   private scheduleArrival(): void {
     const gapMs = (-Math.log(1 - this.draw_()) * 1000) / this.options_.perSecond
-    this.agenda_.later(gapMs, () => {
+    this.agenda_.schedule(gapMs, () => {
       this.arrive()
       this.scheduleArrival()
     })
@@ -190,7 +190,7 @@
   }
 
   private broadcastLoads(loads: PrefillBacklog): void {
-    this.agenda_.later(LINK_MS, () => {
+    this.agenda_.schedule(LINK_MS, () => {
       for (let i = 0; i < this.boxes_.length; i++) this.step(i, {type: "loads", loads})
     })
   }
@@ -202,7 +202,7 @@
   private recordUse(box: number, change: Parameters<UseCounts["add"]>[0]): void {
     const uses = this.uses_[box] as UseCounts
     if (!uses.add(change)) return
-    this.agenda_.later(batchIntervalMs(this.options_.boxes) + LINK_MS, () => {
+    this.agenda_.schedule(batchIntervalMs(this.options_.boxes) + LINK_MS, () => {
       this.step(0, {type: "uses", box: String(box), changes: uses.drain()})
     })
   }
@@ -222,12 +222,12 @@
     const firstTokenAt = Math.max(now + LINK_MS, this.freeAt_[engine] ?? 0) + prefillMs
     this.freeAt_[engine] = firstTokenAt
     if (now >= COUNT_FROM_MS) this.work_[engine] = (this.work_[engine] ?? 0) + prefillMs
-    this.agenda_.later(firstTokenAt - now, () => {
+    this.agenda_.schedule(firstTokenAt - now, () => {
       const arrivedAt = this.arrivedAt_.get(id) ?? 0
       if (arrivedAt >= COUNT_FROM_MS) this.waits_.push(this.agenda_.now - arrivedAt)
       this.step(box, {type: "heard", id, attempt})
     })
-    this.agenda_.later(firstTokenAt - now + OUTPUT_MS, () =>
+    this.agenda_.schedule(firstTokenAt - now + OUTPUT_MS, () =>
       this.step(box, {type: "done", id, attempt})
     )
   }
--- a/test/policies.test.ts
+++ b/test/policies.test.ts
@@ -60,18 +60,21 @@
 
 t.test("a policy ranks engines by their current state", async t => {
   const fullest = createSubject(rulePolicy({serve: "-engine.running"}))
-  t.equal(fullest.place("r0"), "engine-0")
-  t.equal(fullest.place("r1"), "engine-0", "fills one batch after the other")
+  t.equal(fullest.scheduleRequest("r0"), "engine-0")
+  t.equal(fullest.scheduleRequest("r1"), "engine-0", "fills one batch after the other")
   const limited = createSubject(
     rulePolicy({limit: "request.organisation == 'cotejo' ? 1 : 9"})
   )
-  t.ok(limited.place("r0", {organisation: "cotejo"}))
+  t.ok(limited.scheduleRequest("r0", {organisation: "cotejo"}))
   t.equal(
-    limited.place("r1", {organisation: "cotejo"}),
+    limited.scheduleRequest("r1", {organisation: "cotejo"}),
     undefined,
     "the limit of the policy is reached"
   )
-  t.ok(limited.place("r2", {organisation: "other"}), "the limit does not apply to others")
+  t.ok(
+    limited.scheduleRequest("r2", {organisation: "other"}),
+    "the limit does not apply to others"
+  )
 })
 
 t.test(
@@ -88,11 +91,11 @@
       const subject = createSubject(policy)
       const {cell} = subject
       for (let count = 0; count < 16; count++)
-        t.ok(subject.place(`r${count}`), "served by the built-in policy")
+        t.ok(subject.scheduleRequest(`r${count}`), "served by the built-in policy")
       t.equal(countEvents(cell, "policy-fault"), 16)
       for (let count = 16; count < 2 * MAX_POLICY_FAULTS; count++) {
         cell.running.clear()
-        t.ok(subject.place(`r${count}`))
+        t.ok(subject.scheduleRequest(`r${count}`))
       }
       t.equal(countEvents(cell, "policy-fault"), MAX_POLICY_FAULTS)
       t.equal(countEvents(cell, "policy-suspended"), 1)
@@ -108,7 +111,7 @@
   "a policy that omits the engines and ranks unknown ones still gets requests served",
   async t => {
     const odd = {...BUILT_IN_POLICY, name: "odd@1", rankServing: () => ["engine-9"]}
-    t.match(createSubject(odd).place("r0"), /^engine-[01]$/)
+    t.match(createSubject(odd).scheduleRequest("r0"), /^engine-[01]$/)
   }
 )
 
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -18,22 +18,22 @@
   "an engine that reports requests of others goes last, and is still used",
   async t => {
     const subject = createSubject()
-    subject.list("engine-0", {load: {running: 3, waiting: 2}})
+    subject.handleListResult("engine-0", {load: {running: 3, waiting: 2}})
     for (let count = 0; count < 5; count++)
-      t.equal(subject.place(`r${count}`), "engine-1")
+      t.equal(subject.scheduleRequest(`r${count}`), "engine-1")
     for (let count = 5; count < 16; count++)
-      t.ok(subject.place(`r${count}`), "up to its batch")
-    t.equal(subject.place("r16"), undefined, "own requests fill both")
+      t.ok(subject.scheduleRequest(`r${count}`), "up to its batch")
+    t.equal(subject.scheduleRequest("r16"), undefined, "own requests fill both")
   }
 )
 
 t.test("a late report does not count the own requests as those of others", async t => {
   const subject = createSubject()
-  const engine = subject.place("r0") ?? ""
+  const engine = subject.scheduleRequest("r0") ?? ""
   subject.cell.running.clear()
-  subject.list(engine, {load: {running: 1, waiting: 0}})
+  subject.handleListResult(engine, {load: {running: 1, waiting: 0}})
   t.equal(subject.cell.engines.get(engine)?.foreign, 0)
-  subject.list(engine, {load: {running: 1, waiting: 0}})
+  subject.handleListResult(engine, {load: {running: 1, waiting: 0}})
   t.equal(subject.cell.engines.get(engine)?.foreign, 1, "it still runs after the next")
 })
 
@@ -42,12 +42,16 @@
   async t => {
     const subject = createSubject()
     const events = [{seq: 1, prefix: "p", stored: true}]
-    subject.list("engine-1", {cache: {last: 1, events}})
-    t.equal(subject.place("r0", {prefix: "p"}), "engine-1")
-    t.equal(subject.place("r1", {prefix: "p"}), "engine-1")
-    t.equal(subject.place("r2", {prefix: "p"}), "engine-0", "not when it is much fuller")
+    subject.handleListResult("engine-1", {cache: {last: 1, events}})
+    t.equal(subject.scheduleRequest("r0", {prefix: "p"}), "engine-1")
+    t.equal(subject.scheduleRequest("r1", {prefix: "p"}), "engine-1")
     t.equal(
-      subject.place("r3", {prefix: "q"}),
+      subject.scheduleRequest("r2", {prefix: "p"}),
+      "engine-0",
+      "not when it is much fuller"
+    )
+    t.equal(
+      subject.scheduleRequest("r3", {prefix: "q"}),
       "engine-0",
       "the least loaded for any other"
     )
@@ -58,14 +62,18 @@
   const subject = createSubject()
   const known = () => [...(subject.cell.engines.get("engine-0")?.prefixes ?? [])]
   const event = (seq: number, prefix: string, stored = true) => ({seq, prefix, stored})
-  subject.list("engine-0", {cache: {last: 2, events: [event(1, "a"), event(2, "b")]}})
-  subject.list("engine-0", {cache: {last: 3, events: [event(3, "a", false)]}})
+  subject.handleListResult("engine-0", {
+    cache: {last: 2, events: [event(1, "a"), event(2, "b")]}
+  })
+  subject.handleListResult("engine-0", {cache: {last: 3, events: [event(3, "a", false)]}})
   t.same(known(), ["b"])
-  subject.list("engine-0", {cache: {last: 7, events: [event(6, "c"), event(7, "d")]}})
+  subject.handleListResult("engine-0", {
+    cache: {last: 7, events: [event(6, "c"), event(7, "d")]}
+  })
   t.same(known(), ["c", "d"], "4 and 5 were missed")
-  subject.list("engine-0", {cache: {last: 1, events: [event(1, "e")]}})
+  subject.handleListResult("engine-0", {cache: {last: 1, events: [event(1, "e")]}})
   t.same(known(), ["e"], "it counts anew")
-  subject.list("engine-0")
+  subject.handleListResult("engine-0")
   t.same(known(), ["e"], "a list without events changes nothing")
 })
 
--- a/test/schedule.test.ts
+++ b/test/schedule.test.ts
@@ -34,18 +34,18 @@
 
 t.test("evicts no more adapters than the load budget can replace", async t => {
   const subject = createSubject(0)
-  for (const model of MODELS.slice(4)) subject.place(model, {model})
+  for (const model of MODELS.slice(4)) subject.scheduleRequest(model, {model})
   t.same(subject.orders(), ["unload"], "one load is allowed, and three adapters wait")
 })
 
 t.test("a policy can reserve a load for requests that cannot wait", async t => {
   const [, , , , cold, other] = MODELS
   const subject = createSubject(1)
-  subject.place("r0", {model: cold, class: "overnight"})
+  subject.scheduleRequest("r0", {model: cold, class: "overnight"})
   t.same(subject.orders(), [], "the only load of the budget is reserved")
-  subject.place("r1", {model: other})
+  subject.scheduleRequest("r1", {model: other})
   t.same(subject.orders(), ["unload"], "the till gets the reserved load")
   const without = createSubject(0)
-  without.place("r0", {model: cold, class: "overnight"})
+  without.scheduleRequest("r0", {model: cold, class: "overnight"})
   t.same(without.orders(), ["unload"])
 })
--- a/test/server-notices.test.ts
+++ b/test/server-notices.test.ts
@@ -52,7 +52,11 @@
   }
 
   violations(): string[] {
-    const record: NoticeRecord = {calls: this.calls, excuses: [], reborn: this.reborn}
+    const record: NoticeRecord = {
+      calls: this.calls,
+      exemptions: [],
+      restarts: this.reborn
+    }
     return judgeNotices(this.bed.judge, record)
   }
 }
--- a/test/server-rates.test.ts
+++ b/test/server-rates.test.ts
@@ -59,7 +59,7 @@
 
   violations(): string[] {
     const {judge} = this.bed
-    return judgeRates(judge, {calls: this.calls, excuses: [], reborn: judge.reborn})
+    return judgeRates(judge, {calls: this.calls, exemptions: [], restarts: judge.reborn})
   }
 
   /** Requests that reached the worker within the last span. */
--- a/test/shared-limits.test.ts
+++ b/test/shared-limits.test.ts
@@ -4,7 +4,7 @@
  */
 import t from "tap"
 import {
-  playSharedLimits,
+  simulateSharedLimits,
   type SharedLimitsOptions,
   type SharedLimitsResult
 } from "./patterns/shared-limits.js"
@@ -24,7 +24,7 @@
 
 const describe = ({
   mostUsed,
-  refusedBeneath,
+  refusedBelowLimit: refusedBeneath,
   hotUsed,
   messages
 }: SharedLimitsResult): string =>
@@ -45,7 +45,7 @@
 for (const [name, more] of Object.entries(CASES)) {
   t.test(`no limit is exceeded: ${name}`, async t => {
     for (const seed of [1, 2]) {
-      const result = playSharedLimits({...HOT, ...more, seed})
+      const result = simulateSharedLimits({...HOT, ...more, seed})
       t.comment(describe(result))
       t.ok(result.mostUsed <= 1, `seed ${seed}: ${result.mostUsed}`)
     }
@@ -55,9 +55,9 @@
 t.test(
   "organisations below their limits are not refused because of a hot one",
   async t => {
-    const result = playSharedLimits(HOT)
+    const result = simulateSharedLimits(HOT)
     t.comment(describe(result))
-    t.ok(result.refusedBeneath < REFUSED_SHARE, `${result.refusedBeneath}`)
+    t.ok(result.refusedBelowLimit < REFUSED_SHARE, `${result.refusedBelowLimit}`)
     t.ok(result.hotUsed > 0.9, "the hot organisation can use its rate")
   }
 )
@@ -65,8 +65,8 @@
 t.test(
   "a new leader refuses few requests of organisations below their limits",
   async t => {
-    const result = playSharedLimits({...HOT, leaderLostAt: [9]})
+    const result = simulateSharedLimits({...HOT, leaderLostAt: [9]})
     t.comment(describe(result))
-    t.ok(result.refusedBeneath < 0.08, `${result.refusedBeneath}`)
+    t.ok(result.refusedBelowLimit < 0.08, `${result.refusedBelowLimit}`)
   }
 )
--- a/test/stale-loads.test.ts
+++ b/test/stale-loads.test.ts
@@ -3,7 +3,7 @@
  * old.
  */
 import t from "tap"
-import {playStaleLoads, type StaleLoadsOptions} from "./patterns/stale-loads.js"
+import {simulateStaleLoads, type StaleLoadsOptions} from "./patterns/stale-loads.js"
 
 const LOAD: StaleLoadsOptions = {
   seed: 1,
@@ -21,7 +21,11 @@
     t.test(
       `engines receive no more than they can prefill in time, ${boxes} boxes, seed ${seed}`,
       async t => {
-        const {requests, late, medianMs, p99Ms} = playStaleLoads({...LOAD, boxes, seed})
+        const {requests, late, medianMs, p99Ms} = simulateStaleLoads({
+          ...LOAD,
+          boxes,
+          seed
+        })
         t.comment(
           `${late} of ${requests} late, median ${Math.round(medianMs)} ms, p99 ${Math.round(p99Ms)} ms`
         )
--- a/test/stop.test.ts
+++ b/test/stop.test.ts
@@ -48,7 +48,7 @@
       await deployment.entryReady(box)
     }
   })()
-  const flows = [1, 2, 3, 4].map(() => calls.flow(() => ready, rolling))
+  const flows = [1, 2, 3, 4].map(() => calls.sendContinuously(() => ready, rolling))
   const long = calls.send(deployment.boxes[0] as Box, {tokens: 500, tag: "long"})
   await Promise.all([rolling, ...flows])
   t.match(await long, {kind: "answered", tokens: 500})
--- a/test/support/box-subject.ts
+++ b/test/support/box-subject.ts
@@ -86,7 +86,7 @@
     return this.drain()
   }
 
-  pass(ms: number): this {
+  advanceTime(ms: number): this {
     this.now += ms
     tickRequests(this.box, this.now)
     return this.drain()
@@ -98,7 +98,7 @@
   }
 
   /** Summarizes the effects of the last call that leave the box. */
-  told(): string[] {
+  summarizeEffects(): string[] {
     return this.effects.flatMap(effect => {
       if (effect.type === "send") return [`send ${effect.attempt}`]
       if (effect.type === "end") return [`end ${effect.reason}`]
@@ -112,7 +112,7 @@
 /**
  * Returns snapshots in which both backend servers hold the first version of the adapter.
  */
-export function engines(): EngineSnapshot[] {
+export function loadedEngines(): EngineSnapshot[] {
   const slot = {adapter: "m/x", version: 1, readyInMs: 0}
   return ["one", "two"].map(engine => ({
     engine,
--- a/test/support/calls.ts
+++ b/test/support/calls.ts
@@ -34,7 +34,7 @@
   }
 
   /** Sends requests one at a time to alternating boxes until a promise settles. */
-  async flow(
+  async sendContinuously(
     boxes: () => readonly Box[],
     until: Promise<unknown>,
     models = 8
--- a/test/support/cell.ts
+++ b/test/support/cell.ts
@@ -11,7 +11,7 @@
 import {BUILT_IN_POLICY, DEFAULT_TIMING} from "../../src/index.js"
 import type {Configuration, ModelEngine, RequestClass} from "../../src/types/config.js"
 
-export type Listed = Omit<Extract<OrderResult, {ok: true}>, "ok" | "models">
+export type EngineList = Omit<Extract<OrderResult, {ok: true}>, "ok" | "models">
 
 export interface TestCellOptions {
   readonly engines: readonly string[]
@@ -22,7 +22,7 @@
   readonly config?: Configuration
 }
 
-export interface TestAsk {
+export interface TestRequest {
   readonly model?: string
   readonly organisation?: string
   readonly class?: RequestClass
@@ -47,11 +47,11 @@
     }
     const servers = new Map(options_.engines.map(id => [id, server]))
     syncEngines(this.cell, servers, new Set())
-    for (const id of options_.engines) this.list(id)
+    for (const id of options_.engines) this.handleListResult(id)
   }
 
   /** Applies an engine's response to a list order. */
-  list(engine: string, listed: Listed = {}): void {
+  handleListResult(engine: string, listed: EngineList = {}): void {
     const order = {order: "list", cacheAfter: 0} as const
     const result = {ok: true, models: this.options_.models, ...listed} as const
     handleOrderResult(this.cell, engine, order, result, NOW, DEFAULT_TIMING)
@@ -60,7 +60,7 @@
   /**
    * Queues a request, runs the scheduler and returns the engine that was granted, if any.
    */
-  place(request: string, ask: TestAsk = {}): string | undefined {
+  scheduleRequest(request: string, ask: TestRequest = {}): string | undefined {
     queueRequest(this.cell, "entry-0", {
       t: "ask",
       cell: "cell-1",
--- a/test/support/judge-notices.ts
+++ b/test/support/judge-notices.ts
@@ -25,7 +25,7 @@
  * Time at which a box was restarted, suspended or cut off. The box does not have to obey
  * notices from before.
  */
-export interface Excuse {
+export interface Exemption {
   readonly box: string
   readonly at: number
 }
@@ -33,9 +33,9 @@
 export interface NoticeRecord {
   /** By request id. */
   readonly calls: ReadonlyMap<string, NoticedCall>
-  readonly excuses: readonly Excuse[]
+  readonly exemptions: readonly Exemption[]
   /** Starts of worker incarnations. Notices of earlier incarnations are not binding. */
-  readonly reborn: readonly {readonly worker: string; readonly at: number}[]
+  readonly restarts: readonly {readonly worker: string; readonly at: number}[]
 }
 
 /** Returns a line for each notice that was not obeyed. */
@@ -90,7 +90,7 @@
 }
 
 function isExcused(
-  {excuses, reborn}: NoticeRecord,
+  {exemptions: excuses, restarts: reborn}: NoticeRecord,
   box: string,
   worker: string,
   from: number,
--- a/test/support/judge-rates.ts
+++ b/test/support/judge-rates.ts
@@ -4,7 +4,7 @@
  */
 import type {Judge} from "../stand-ins/platform-judge.js"
 import type {NamedRate} from "../stand-ins/named-rates.js"
-import type {Excuse, NoticeRecord} from "./judge-notices.js"
+import type {Exemption, NoticeRecord} from "./judge-notices.js"
 
 /** Length of the time spans in which requests are counted. */
 const SPAN_MS = 4_000
@@ -43,7 +43,7 @@
     const count = arrived.filter(request => {
       const box = boxOf(request.id)
       if (box === undefined || request.at > at || request.at <= at - SPAN_MS) return false
-      const since = lastExcuseAt(record.excuses, box, at)
+      const since = lastExcuseAt(record.exemptions, box, at)
       if (request.at < since) return false
       const receivedAt = told.find(
         answer => answer.at > since && boxOf(answer.id) === box
@@ -62,7 +62,7 @@
  * Returns the time at which a box was last restarted, suspended or cut off. The box has
  * to receive the rate again, and its earlier requests do not count.
  */
-function lastExcuseAt(excuses: readonly Excuse[], box: string, until: number): number {
+function lastExcuseAt(excuses: readonly Exemption[], box: string, until: number): number {
   const times = excuses.filter(excuse => excuse.box === box && excuse.at <= until)
   return Math.max(-Infinity, ...times.map(({at}) => at))
 }
--- a/test/support/soak-judge-incidents.ts
+++ b/test/support/soak-judge-incidents.ts
@@ -36,8 +36,8 @@
   const excuses = [...record.excuses, ...linkExcuses(record)]
   return [
     ...judgeCrashes(judge, ({id, at}) => isInTouch(id, at)),
-    ...judgeNotices(judge, {calls, excuses, reborn: judge.reborn}),
-    ...judgeRates(judge, {calls, excuses: record.excuses, reborn: judge.reborn}),
+    ...judgeNotices(judge, {calls, exemptions: excuses, restarts: judge.reborn}),
+    ...judgeRates(judge, {calls, exemptions: record.excuses, restarts: judge.reborn}),
     ...record.crashing.flatMap(call => judgeCrashing(judge, call))
   ]
 }
--- a/test/versions-sends.test.ts
+++ b/test/versions-sends.test.ts
@@ -15,7 +15,7 @@
 import {stepRouted} from "../src/core/serving.js"
 import type {RoutedState} from "../src/core/serving-fleet.js"
 import type {RoutedEffect, RoutedEvent} from "../src/core/serving-events.js"
-import {engines, STREAM, Subject} from "./support/box-subject.js"
+import {loadedEngines, STREAM, Subject} from "./support/box-subject.js"
 import {until} from "./support/wait.js"
 
 /** So long before the test the store was read last without the second version, milliseconds. */
@@ -66,7 +66,7 @@
   t.teardown(() => server.close())
   const start = performance.now()
   loop.post({type: "config", config: CONFIG})
-  loop.post({type: "engines", engines: engines()})
+  loop.post({type: "engines", engines: loadedEngines()})
   loop.post({type: "news", at: start - READ_BEFORE_MS, read: true})
   loop.post({type: "versions", versions: [["m/x", 2]]})
   loop.post({type: "news", at: start, read: true})
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -17,7 +17,7 @@
 import {UnreadableEntry} from "../src/errors.js"
 import type {Route} from "../src/types/fleet.js"
 import type {StandInWorker} from "./stand-ins/platform-worker.js"
-import {engines, STREAM, Subject, WEIGHTS} from "./support/box-subject.js"
+import {loadedEngines, STREAM, Subject, WEIGHTS} from "./support/box-subject.js"
 import {type BedBox, PlatformBed} from "./support/platform-bed.js"
 import {until} from "./support/wait.js"
 
@@ -34,7 +34,7 @@
 /** A box whose engines hold the first version, with news of now. */
 function informed(): Subject {
   const subject = new Subject()
-  applyFullSnapshot(subject.box, engines(), subject.now)
+  applyFullSnapshot(subject.box, loadedEngines(), subject.now)
   recordSnapshotTime(subject.box, subject.now)
   return subject
 }
@@ -48,7 +48,7 @@
 }
 
 function arrive(subject: Subject, route: Route): string[] {
-  return subject.arrive(route, {weights: WEIGHTS, deadlineMs: 20_000}).told()
+  return subject.arrive(route, {weights: WEIGHTS, deadlineMs: 20_000}).summarizeEffects()
 }
 
 t.test("a version that was heard of late may have been replaced long before", async t => {
@@ -63,7 +63,7 @@
 
 t.test("a box that has just started uses no version that was replaced", async t => {
   const started = new Subject()
-  applyFullSnapshot(started.box, engines(), started.now)
+  applyFullSnapshot(started.box, loadedEngines(), started.now)
   applyVersions(started.box, [["m/x", 2]], started.now)
   recordSnapshotTime(started.box, started.now)
   t.same(arrive(started, STREAM), ["need"])
@@ -80,8 +80,8 @@
     t.same(arrive(subject, route), ["send 1"])
     subject.start()
     recordSnapshotTime(subject.box, subject.now + TAKE_BACK_MS)
-    t.same(subject.pass(1_000).told(), [], "it has time to begin")
-    t.same(subject.pass(TAKE_BACK_MS - SEND_MS - 900).told(), told)
+    t.same(subject.advanceTime(1_000).summarizeEffects(), [], "it has time to begin")
+    t.same(subject.advanceTime(TAKE_BACK_MS - SEND_MS - 900).summarizeEffects(), told)
   }
 })
 
@@ -93,7 +93,7 @@
   applyEngineLoads(subject.box, {order, hundreds: [600, 600], tokensPerMs: 20})
   t.same(arrive(subject, STREAM), ["need"], "a queue of 3 s")
   applyEngineLoads(subject.box, {hundreds: [400, 400], tokensPerMs: 20})
-  t.same(subject.pass(1).told(), ["send 1"], "one of 2 s")
+  t.same(subject.advanceTime(1).summarizeEffects(), ["send 1"], "one of 2 s")
 })
 
 /** What operators allow from a newer version's acknowledgement until no request begins on an older one. */
@@ -149,7 +149,11 @@
     subject.start()
     hear(subject, 100)
     recordSnapshotTime(subject.box, subject.now + TAKE_BACK_MS)
-    t.same(subject.pass(TAKE_BACK_MS).told(), [], "its engine may work on it")
+    t.same(
+      subject.advanceTime(TAKE_BACK_MS).summarizeEffects(),
+      [],
+      "its engine may work on it"
+    )
     t.same(arrive(hear(informed(), 0), whole), ["need"])
     t.same(arrive(hear(informed(), 0), PATIENT), ["send 1"], "a stream tells its begin")
   }
