--- a/bench/bare-relay.ts
+++ b/bench/bare-relay.ts
@@ -1,4 +1,4 @@
-/** The baseline: passes a request on and its answer back, and does nothing else. */
+/** Baseline relay, which only forwards requests and their answers. */
 import {createServer} from "node:http"
 import {Agent} from "undici"
 
--- a/bench/capacity-config.ts
+++ b/bench/capacity-config.ts
@@ -1,4 +1,4 @@
-/** What records of the configuration cost: memory, bytes of a snapshot, time of a change. */
+/** Measures the cost of configuration records: memory, snapshot bytes and time of a change. */
 import {applyChanges, listRecords, restoreSnapshot} from "../src/core/configuration.js"
 import type {Configuration, SnapshotRecord} from "../src/types/config.js"
 import {fitLine, type Line, type Point} from "./fit.js"
@@ -50,7 +50,8 @@
     const config = restoreSnapshot(parsed, 1)
     parsed.length = 0
     points.push({size: adapters * 2, value: settledHeap() - before})
-    if (config.generation !== 1) throw new Error("not restored")
+    if (config.generation !== 1)
+      throw new Error(`restored generation ${config.generation} in place of 1`)
   }
   return fitLine(points)
 }
--- a/bench/capacity-processes.ts
+++ b/bench/capacity-processes.ts
@@ -1,4 +1,4 @@
-/** What real processes cost that have nothing to do, by the number of boxes. */
+/** Measures the cost of idle processes by the number of boxes. */
 import {readFileSync} from "node:fs"
 import {DEFAULT_TIMING} from "../src/core/timing.js"
 import {Child} from "../test/support/child.js"
@@ -9,7 +9,7 @@
 const IDLE_SECONDS = 20
 
 export async function measureProcesses(): Promise<object> {
-  const floor = await measureFloor()
+  const floor = await measureIdleProcess()
   const sizes: object[] = []
   for (const boxes of [1, 2, 4, 8]) {
     const deployment = await Deployment.start({
@@ -18,7 +18,7 @@
       timing: {...DEFAULT_TIMING}
     })
     try {
-      sizes.push(await measureIdle(deployment, boxes))
+      sizes.push(await measureIdleBox(deployment, boxes))
     } finally {
       await deployment.stop()
     }
@@ -26,10 +26,10 @@
   return {nodeFloor: floor, idleProcesses: sizes}
 }
 
-/** What a node process costs that does nothing. */
-async function measureFloor(): Promise<object> {
+/** Measures an idle Node.js process. */
+async function measureIdleProcess(): Promise<object> {
   const child = new Child("bench/idle.js", [])
-  await until("it runs", () => child.output.includes("running"))
+  await until("the idle process runs", () => child.output.includes("running"))
   const before = cpuOf(child.pid)
   await new Promise(done => setTimeout(done, IDLE_SECONDS * 1000))
   const cpu = (cpuOf(child.pid) - before) / (IDLE_SECONDS * 10)
@@ -38,7 +38,7 @@
   return {cpuPercent: cpu, rssMb}
 }
 
-async function measureIdle(deployment: Deployment, boxes: number): Promise<object> {
+async function measureIdleBox(deployment: Deployment, boxes: number): Promise<object> {
   const [box] = deployment.boxes
   if (!box) return {}
   const counts = async () => getJson(`${deployment.kv.url}/stand-in/counts`)
--- a/bench/capacity-steps.ts
+++ b/bench/capacity-steps.ts
@@ -1,4 +1,4 @@
-/** What transitions of a keeper and of an entry cost, by what is in progress, and the bytes of messages. */
+/** Measures transitions of a keeper and an entry by the amount in progress, and message sizes. */
 import {Packr} from "msgpackr"
 import {createEntry, stepEntry} from "../src/core/entry.js"
 import type {EntryOptions} from "../src/core/entry-state.js"
@@ -21,7 +21,7 @@
   builtInPolicy: BUILT_IN_POLICY
 }
 
-/** A keeper that owns one cell, with an entry linked and an adapter loaded on every engine. */
+/** Creates a keeper that owns one cell, with a linked entry and adapters loaded on every engine. */
 function makeKeeper(engines: number): KeeperState {
   const keeper = new OwnedKeeper(KEEPER_OPTIONS, makeConfig(64, engines))
   const models = ["base-a/adapter-0@1", "base-a/adapter-1@1"]
@@ -35,7 +35,7 @@
   return keeper.state
 }
 
-function askOf(request: string) {
+function createAsk(request: string) {
   return {
     type: "message" as const,
     from: "entry-0",
@@ -55,10 +55,10 @@
   const points = [50, 100, 200, 400, 800].map(running => {
     let state = makeKeeper(16)
     for (let index = 0; index < running; index++) {
-      state = stepKeeper(state, askOf(`warm-${index}`), 1_000, KEEPER_OPTIONS).state
+      state = stepKeeper(state, createAsk(`warm-${index}`), 1_000, KEEPER_OPTIONS).state
     }
     const value = timeEach(200, index => {
-      stepKeeper(state, askOf(`ask-${index}`), 1_000, KEEPER_OPTIONS)
+      stepKeeper(state, createAsk(`ask-${index}`), 1_000, KEEPER_OPTIONS)
     })
     return {size: running, value}
   })
@@ -133,16 +133,16 @@
   return fitLine(points)
 }
 
-/** Bytes of the messages on a link, with the frame and TCP/IP headers of a packet of its own. */
+/** Returns message sizes on a link, with the frame and TCP/IP headers of one packet per message. */
 export function measureMessageBytes(): Record<string, number> {
   const packr = new Packr({structuredClone: false})
-  const overhead = 66 + 6
+  const overheadBytes = 66 + 6
   const id = "box-123-entry-0a1b2c3d-123456.0"
   const model = "base-a/adapter-12345@1"
-  const size = (message: object) => packr.pack(message).length + overhead
+  const size = (message: object) => packr.pack(message).length + overheadBytes
   return {
     ping: size({t: "ping", generation: 123_456}),
-    ask: size({...askOf(id).message, model}),
+    ask: size({...createAsk(id).message, model}),
     grant: size({
       t: "grant",
       cell: "cell-123",
--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -1,6 +1,6 @@
 /**
- * The slopes that docs/CAPACITY.md stands on: what a unit of each kind costs in memory, processor
- * time, bytes and calls, measured at four sizes or more. Raw numbers go to docs/capacity.json.
+ * Measures the slopes used in docs/CAPACITY.md: the cost of one unit of each kind in memory,
+ * processor time, bytes and calls, at four sizes or more. Writes raw numbers to docs/capacity.json.
  */
 import {writeFileSync} from "node:fs"
 import {fileURLToPath} from "node:url"
@@ -21,7 +21,7 @@
 
 const OUTPUT = fileURLToPath(new URL("../../docs/capacity.json", import.meta.url))
 
-/** Measures every slope, prints the fits and keeps the raw numbers. */
+/** Measures every slope, prints the fits and saves the raw numbers. */
 export async function benchCapacity(): Promise<void> {
   const lines: Record<string, Line> = {
     "configuration memory, bytes a record": measureConfigMemory(),
--- a/bench/demo.ts
+++ b/bench/demo.ts
@@ -1,7 +1,7 @@
 /**
- * The main job on a fresh machine, with the stand-ins: two organisations, 500 adapters on 24 slots,
- * an engine restarted empty and an owner killed on the way. The table is counted from what
- * callers saw and engines logged.
+ * Demonstrates the main use with the stand-ins: two organisations with 500 adapters on 24 slots.
+ * During the run an engine restarts empty and an owner is killed. The table is computed from the
+ * callers' results and the engines' logs.
  */
 import {build} from "hdr-histogram-js"
 import {command, Deployment, getJson} from "../test/support/deployment.js"
@@ -44,16 +44,16 @@
       oncePart: 0.2,
       repeatPart: 0.3,
       maxTokens: 24,
-      onSent: count => void disturb(deployment, count)
+      onSent: count => void injectFaults(deployment, count)
     })
     const engines = await readEngines(deployment)
-    return report(calls, engines)
+    return printReport(calls, engines)
   } finally {
     await deployment.stop()
   }
 }
 
-async function disturb(deployment: Deployment, count: number): Promise<void> {
+async function injectFaults(deployment: Deployment, count: number): Promise<void> {
   if (count % PROGRESS_EVERY === 0) console.log(`${count} of ${REQUESTS} requests sent`)
   if (count === RESTART_AT) {
     console.log("restarting engine-0 empty")
@@ -74,20 +74,20 @@
   }
 }
 
-function report(calls: readonly Call[], engines: readonly EngineReport[]): number {
+function printReport(calls: readonly Call[], engines: readonly EngineReport[]): number {
   const violations = judge(calls, engines)
   const stalls = measureStalls(calls, engines)
   const organisations = [...new Set(calls.map(call => call.organisation))].sort()
   const rows = organisations.map(organisation => {
-    const own = calls.filter(call => call.organisation === organisation)
-    return describeOrganisation(organisation, own, stalls, engines)
+    const ownCalls = calls.filter(call => call.organisation === organisation)
+    return describeOrganisation(organisation, ownCalls, stalls, engines)
   })
   console.table(rows)
-  const zeros = Object.fromEntries(
+  const violationCounts = Object.fromEntries(
     Object.entries(violations).map(([name, list]) => [name, (list as string[]).length])
   )
   console.log("must be 0:")
-  console.table([zeros])
+  console.table([violationCounts])
   for (const [name, list] of Object.entries(violations)) {
     for (const evidence of (list as string[]).slice(0, 5))
       console.log(`${name}: ${evidence}`)
@@ -124,7 +124,7 @@
   }
 }
 
-/** How full the steps were in which the organisation's tokens were made, on the mean. */
+/** Returns the mean batch fill of the steps that generated the organisation's tokens. */
 function batchEfficiency(
   _organisation: string,
   calls: readonly Call[],
--- a/bench/drill.ts
+++ b/bench/drill.ts
@@ -1,15 +1,16 @@
 /**
- * `node dist/bench/drill.js --boxes N`: what callers, the store and engines notice as the store comes back
- * from an older copy, with real boxes on the platform's stand-in. Ten seconds before and after are compared.
+ * `node dist/bench/drill.js --boxes N`: measures the effect on callers, the store and engines when
+ * the store is restored from an older backup, with real boxes on the platform's stand-in. Compares
+ * ten seconds before and after.
  */
 import {cac} from "cac"
 import {type Outcome, PlatformBed} from "../test/support/platform-bed.js"
 
 const cli = cac("drill")
 cli.option("--boxes <n>", "Boxes", {default: 3})
-cli.option("--copy-age <ms>", "How old the copy is", {default: 3_000})
-cli.option("--away <ms>", "How long the store is away", {default: 300})
-cli.option("--rewrite <ms>", "When operators have written again", {default: 500})
+cli.option("--copy-age <ms>", "Age of the backup", {default: 3_000})
+cli.option("--away <ms>", "Length of the store's outage", {default: 300})
+cli.option("--rewrite <ms>", "Time until operators repeat lost writes", {default: 500})
 const {options} = cli.parse()
 
 const SPAN_MS = 10_000
@@ -17,7 +18,7 @@
 const CALL_MS = 25
 const ADAPTERS = 60
 
-/** An answer that takes longer is late, milliseconds: the target of the routes that are called. */
+/** Target latency of the called routes. Answers that take longer are late. */
 const LATE_MS = 400
 
 interface Sample {
@@ -28,14 +29,14 @@
 const pause = (ms: number): Promise<void> =>
   new Promise(resolve => setTimeout(resolve, ms))
 
-/** Calls boxes and adapters in turn, skewed towards the first adapters. */
+/** Calls boxes and adapters in turn for a while, with half of the streams for the first adapter. */
 async function callFor(bed: PlatformBed, spanMs: number): Promise<Sample[]> {
   const samples: Promise<Sample>[] = []
   const end = performance.now() + spanMs
   for (let i = 0; performance.now() < end; i++) {
     const box = bed.boxes[i % bed.boxes.length]
     if (!box) break
-    // Half of the calls are for adapters that engines have to be ordered to load.
+    // Half of the calls need adapters that engines have to be ordered to load.
     const adapter = `a${i % 2 === 0 ? 0 : (7 * i) % ADAPTERS}`
     const sentAt = performance.now()
     const call =
@@ -48,7 +49,7 @@
   return Promise.all(samples)
 }
 
-function tell(name: string, samples: readonly Sample[], calls: number): void {
+function printSummary(name: string, samples: readonly Sample[], calls: number): void {
   const count = (test: (sample: Sample) => boolean): number => samples.filter(test).length
   const served = count(({outcome}) => outcome.status === 200 && !outcome.broken)
   const refused = count(({outcome}) => outcome.status === 503)
@@ -70,7 +71,7 @@
   await callFor(bed, SETTLE_MS)
   const callsBefore = bed.store.calls
   const before = await callFor(bed, SPAN_MS)
-  tell("before", before, bed.store.calls - callsBefore)
+  printSummary("before", before, bed.store.calls - callsBefore)
   const callsAfter = bed.store.calls
   const ordersBefore = bed.judge.orders.length
   let returnedAt = 0
@@ -82,7 +83,7 @@
   })
   const after = await callFor(bed, SPAN_MS)
   await drill
-  tell("after", after, bed.store.calls - callsAfter)
+  printSummary("after", after, bed.store.calls - callsAfter)
   const orders = bed.judge.orders.slice(ordersBefore)
   const first = orders.find(({at}) => at > returnedAt)
   const firstMs = first ? Math.round(first.at - returnedAt) : -1
--- a/bench/fit.ts
+++ b/bench/fit.ts
@@ -1,4 +1,4 @@
-/** Straight lines through measured points, by least squares. */
+/** Linear regression by least squares. */
 
 export interface Point {
   readonly size: number
@@ -8,7 +8,7 @@
 export interface Line {
   readonly slope: number
   readonly floor: number
-  /** The largest distance of a point from the line, as a part of the largest value. */
+  /** Largest distance of a point from the line, as a fraction of the largest value. */
   readonly residual: number
   readonly points: readonly Point[]
 }
@@ -17,20 +17,19 @@
   const count = points.length
   const meanSize = points.reduce((sum, {size}) => sum + size, 0) / count
   const meanValue = points.reduce((sum, {value}) => sum + value, 0) / count
-  let above = 0
-  let below = 0
+  let covarianceSum = 0
+  let varianceSum = 0
   for (const {size, value} of points) {
-    above += (size - meanSize) * (value - meanValue)
-    below += (size - meanSize) ** 2
+    covarianceSum += (size - meanSize) * (value - meanValue)
+    varianceSum += (size - meanSize) ** 2
   }
-  const slope = above / below
+  const slope = covarianceSum / varianceSum
   const floor = meanValue - slope * meanSize
   const largest = Math.max(...points.map(({value}) => Math.abs(value)))
   const distances = points.map(({size, value}) => Math.abs(value - floor - slope * size))
   return {slope, floor, residual: Math.max(...distances) / largest, points}
 }
 
-/** The value the line gives at a size. */
 export function valueAt({slope, floor}: Line, size: number): number {
   return floor + slope * size
 }
--- a/bench/idle.ts
+++ b/bench/idle.ts
@@ -1,3 +1,3 @@
-/** A node process that does nothing: the runtime's own floor. */
+/** Idle Node.js process, to measure the baseline cost of the runtime. */
 setInterval(() => undefined, 60_000)
 console.log("running")
--- a/bench/measure.ts
+++ b/bench/measure.ts
@@ -1,6 +1,6 @@
-/** Times of calls, and memory without what is garbage. */
+/** Measurement of call times and memory. */
 
-/** The median time of a call, microseconds, after as many calls to warm up. */
+/** Returns the median time of a call in microseconds, after as many warm-up calls. */
 export function timeEach(count: number, call: (index: number) => void): number {
   for (let index = 0; index < count; index++) call(index)
   const times: number[] = []
@@ -13,7 +13,7 @@
   return times[times.length >> 1] ?? 0
 }
 
-/** Bytes of the heap without what is garbage, where node was started with `--expose-gc`. */
+/** Returns the used heap bytes, after a garbage collection if Node.js runs with `--expose-gc`. */
 export function settledHeap(): number {
   globalThis.gc?.()
   return process.memoryUsage().heapUsed
--- a/bench/owned-keeper.ts
+++ b/bench/owned-keeper.ts
@@ -1,10 +1,10 @@
-/** A keeper of the real core that owns a cell, with one entry linked: what benchmarks drive. */
+/** Keeper of the real core for benchmarks. It owns one cell and has one linked entry. */
 import {createKeeper, stepKeeper} from "../src/index.js"
 import type {KeeperEffect, KeeperEvent, KeeperState} from "../src/index.js"
 import type {KeeperOptions} from "../src/core/keeper-state.js"
 import type {Configuration} from "../src/types/config.js"
 
-const PLACE = {address: "", ops: "", dataCentre: "a"}
+const KEEPER_RECORD = {address: "", ops: "", dataCentre: "a"}
 
 export class OwnedKeeper {
   state: KeeperState
@@ -15,7 +15,7 @@
     config: Configuration
   ) {
     this.state = createKeeper(options_)
-    const keepers = new Map([[options_.self, PLACE]])
+    const keepers = new Map([[options_.self, KEEPER_RECORD]])
     this.step({type: "config", config})
     this.step({type: "shares", shares: new Map(), keepers, entries: new Map()})
     this.step({type: "lease-renewed", sentAt: this.now})
@@ -27,7 +27,7 @@
     this.link()
   }
 
-  /** One transition at `now`. */
+  /** Executes one transition at `now`. */
   step(event: KeeperEvent): readonly KeeperEffect[] {
     const next = stepKeeper(this.state, event, this.now, this.options_)
     this.state = next.state
--- a/bench/places-boxes.ts
+++ b/bench/places-boxes.ts
@@ -1,4 +1,7 @@
-/** Boxes that send requests by what one of them believes, and tell their leader of needs and uses. */
+/**
+ * Boxes that route requests by the state of one of them, and send weights requests and usage
+ * deltas to their leader.
+ */
 import {packDeflated, packPlain, unpack} from "../src/adapters/link-codec.js"
 import {UseCounts} from "../src/adapters/use-counts.js"
 import {type BoxServing, createBoxServing} from "../src/core/box-state.js"
@@ -8,22 +11,22 @@
 import {adapterKey} from "../src/types/fleet.js"
 import {type BenchLeader, MODEL, SERVICE_NAME} from "./places-leader.js"
 
-/** A message unfolds to so many times its bytes at most. */
-const MOST_UNFOLDED = 1_000
+/** Upper bound of the unpacked size of a message, as a multiple of its packed size. */
+const MAX_UNPACK_RATIO = 1_000
 
-/** From the send of a request until it is read, and until it has ended, milliseconds. */
-const READ_MS = 300
+/** Time from sending a request until its prompt is prefilled, and until it has ended. */
+const PREFILL_MS = 300
 const RUN_MS = 1_000
 const PROMPT_TOKENS = 800
 
 export interface BoxesOptions {
   readonly boxes: number
-  /** One way from a box to the leader, milliseconds. */
+  /** One-way link delay from a box to the leader. */
   readonly wayMs: number
   readonly leader: BenchLeader
-  /** Numbers in [0, 1). */
+  /** Returns random numbers in [0, 1). */
   readonly draw: () => number
-  /** Calls back after so many milliseconds of simulated time. */
+  /** Calls back after a delay in simulated time. */
   readonly after: (ms: number, act: () => void) => void
   readonly now: () => number
 }
@@ -35,22 +38,22 @@
 
 export class BenchBoxes {
   needs = 0
-  /** What the leader was told. */
+  /** Messages sent to the leader, and their bytes. */
   messages = 0
   bytes = 0
-  /** Processor time in which one box took what it was told, milliseconds. */
+  /** Processor time in which one box applied the leader's messages. */
   applyMs = 0
-  /** The box whose belief all requests are sent by: in one process there is no room for the belief of each. */
-  private readonly box_: BoxServing
+  /** State by which all requests are routed. One process has no memory for the state of each box. */
+  private readonly routingBox_: BoxServing
   private readonly holders_ = new Map<string, Set<string>>()
-  private readonly uses_: UseCounts[]
-  /** Requests that wait for an adapter, by its key. */
+  private readonly useCounts_: UseCounts[]
+  /** Requests waiting for an adapter, by adapter key. */
   private readonly waiting_ = new Map<string, Waiting[]>()
-  private asked_ = 0
+  private weightsRequestCount_ = 0
 
   constructor(private readonly options_: BoxesOptions) {
-    this.uses_ = Array.from({length: options_.boxes}, () => new UseCounts())
-    this.box_ = createBoxServing({
+    this.useCounts_ = Array.from({length: options_.boxes}, () => new UseCounts())
+    this.routingBox_ = createBoxServing({
       dataCentre: "a",
       retry: {ratio: 0, slack: 0, windowMs: 1_000},
       handoverMs: 0,
@@ -65,31 +68,33 @@
     this.applyMs = 0
   }
 
-  /** Takes a message of the leader. */
+  /** Applies a message of the leader. */
   apply(packed: Buffer): void {
     const now = this.options_.now()
-    const begun = performance.now()
-    const message = unpack(packed, packed.length * MOST_UNFOLDED) as FromLeader
-    if (message.t === "engines") takePicture(this.box_, message.engines, now)
-    if (message.t === "loads") takeLoads(this.box_, message.loads)
-    if (message.t === "places") takeChanges(this.box_, message.changes, now)
-    if (message.t === "places" && message.loads) takeLoads(this.box_, message.loads)
-    this.applyMs += performance.now() - begun
+    const startedAt = performance.now()
+    const message = unpack(packed, packed.length * MAX_UNPACK_RATIO) as FromLeader
+    if (message.t === "engines") takePicture(this.routingBox_, message.engines, now)
+    if (message.t === "loads") takeLoads(this.routingBox_, message.loads)
+    if (message.t === "places") takeChanges(this.routingBox_, message.changes, now)
+    if (message.t === "places" && message.loads)
+      takeLoads(this.routingBox_, message.loads)
+    this.applyMs += performance.now() - startedAt
     if (message.t === "engines")
-      for (const each of message.engines) this.noteHolders(each)
-    if (message.t === "places") for (const each of message.changes) this.noteHolders(each)
+      for (const snapshot of message.engines) this.updateHolders(snapshot)
+    if (message.t === "places")
+      for (const delta of message.changes) this.updateHolders(delta)
   }
 
-  /** A request for an adapter comes to some box. */
+  /** Handles a request for an adapter that arrives at a random box. */
   request(adapter: string): void {
     const box = Math.floor(this.options_.draw() * this.options_.boxes)
     const key = adapterKey(MODEL, adapter)
     const engine = this.leastLoaded(key)
-    if (engine === undefined) this.wait(box, adapter)
+    if (engine === undefined) this.requestWeights(box, adapter)
     else this.send(box, engine, key)
   }
 
-  /** Requests that waited go to the places they were told of, once these are ready. */
+  /** Sends waiting requests to the slots of their adapters as soon as these are ready. */
   serveWaiting({engine, places}: EngineChange): void {
     const {after, leader, wayMs} = this.options_
     for (const {adapter, readyInMs} of places) {
@@ -105,48 +110,50 @@
     }
   }
 
-  /** Each box tells its uses once in the time that they are gathered, each at a moment of its own. */
+  /** Sends the usage deltas of the boxes that are due. Boxes are spread over the batch interval. */
   flushUses(): void {
     const {boxes, now, leader} = this.options_
-    const gap = Math.max(1, gatherMs(boxes))
-    for (let box = now() % gap; box < boxes; box += gap) {
-      const changes = this.uses_[box]?.drain() ?? []
+    const intervalMs = Math.max(1, gatherMs(boxes))
+    for (let box = now() % intervalMs; box < boxes; box += intervalMs) {
+      const changes = this.useCounts_[box]?.drain() ?? []
       if (changes.length === 0) continue
       this.count({t: "use", changes})
       leader.takeUses(`box-${box}`, changes)
     }
   }
 
-  /** What a request costs that is asked for by its adapter, and answered with one place, bytes. */
+  /** Returns the bytes of a weights request for an adapter and its answer with one slot. */
   askedBytes(adapter: string): number {
-    const need = packPlain({t: "need", need: this.needFor(adapter)})
+    const request = packPlain({t: "need", need: this.createWeightsRequest(adapter)})
     const places = [{adapter: adapterKey(MODEL, adapter), version: 1, readyInMs: 0}]
     const change = {engine: "i-0000000000", places, gone: []}
-    return need.length + packDeflated({t: "places", changes: [change]}).length
+    return request.length + packDeflated({t: "places", changes: [change]}).length
   }
 
   private send(box: number, engine: string, adapter: string): void {
-    const uses = this.uses_[box]
-    const idle = {engine, adapter, begun: 0, ended: 0, tokens: 0}
-    uses?.add({...idle, begun: 1, tokens: PROMPT_TOKENS})
-    this.options_.after(READ_MS, () => uses?.add({...idle, tokens: -PROMPT_TOKENS}))
-    this.options_.after(RUN_MS, () => uses?.add({...idle, ended: 1}))
+    const counts = this.useCounts_[box]
+    const emptyDelta = {engine, adapter, begun: 0, ended: 0, tokens: 0}
+    counts?.add({...emptyDelta, begun: 1, tokens: PROMPT_TOKENS})
+    this.options_.after(PREFILL_MS, () =>
+      counts?.add({...emptyDelta, tokens: -PROMPT_TOKENS})
+    )
+    this.options_.after(RUN_MS, () => counts?.add({...emptyDelta, ended: 1}))
   }
 
-  private wait(box: number, adapter: string): void {
-    this.asked_++
+  private requestWeights(box: number, adapter: string): void {
+    this.weightsRequestCount_++
     this.needs++
-    const need = this.needFor(adapter)
-    this.count({t: "need", need})
+    const weightsRequest = this.createWeightsRequest(adapter)
+    this.count({t: "need", need: weightsRequest})
     const key = adapterKey(MODEL, adapter)
     const others = this.waiting_.get(key) ?? []
-    this.waiting_.set(key, [...others, {box, request: need.request}])
-    this.options_.leader.takeNeed(`box-${box}`, need)
+    this.waiting_.set(key, [...others, {box, request: weightsRequest.request}])
+    this.options_.leader.takeNeed(`box-${box}`, weightsRequest)
   }
 
-  private needFor(adapter: string): Need {
+  private createWeightsRequest(adapter: string): Need {
     return {
-      request: this.asked_.toString(16).padStart(16, "0"),
+      request: this.weightsRequestCount_.toString(16).padStart(16, "0"),
       service: SERVICE_NAME,
       model: MODEL,
       adapter,
@@ -162,7 +169,7 @@
     let best: string | undefined
     let least = Infinity
     for (const engine of this.holders_.get(key) ?? []) {
-      const load = this.box_.engines.get(engine)?.load ?? 0
+      const load = this.routingBox_.engines.get(engine)?.load ?? 0
       if (load >= least) continue
       least = load
       best = engine
@@ -170,7 +177,7 @@
     return best
   }
 
-  private noteHolders({
+  private updateHolders({
     engine,
     places,
     gone = []
--- a/bench/places-leader.ts
+++ b/bench/places-leader.ts
@@ -1,4 +1,4 @@
-/** A leader's placement by the real core, before engines that take orders and hold some adapters. */
+/** A leader with the placement of the real core, over simulated engines that execute its orders. */
 import {drainFleet, planFleet} from "../src/core/placement.js"
 import {takeOrderResult} from "../src/core/placement-orders.js"
 import {takeReport} from "../src/core/placement-reports.js"
@@ -13,15 +13,15 @@
 
 export const MODEL = "base"
 export const SERVICE_NAME = "engines"
-const PLACES = 9
+const SLOTS = 9
 const STORE_LOAD_MS = 250
-const COPY_LOAD_MS = 20
-const ORDER_MS = 3
-/** Between two turns: while something new may let an order be given, while requests wait, otherwise. */
-const PLAN_MS = 3
-const WAITING_MS = 20
-const IDLE_MS = 100
-const ASK_MS = 3
+const CACHED_LOAD_MS = 20
+const ORDER_DELAY_MS = 3
+/** Planning interval after relevant changes, while requests wait, and otherwise. */
+const CHANGED_PLAN_MS = 3
+const WAITING_PLAN_MS = 20
+const IDLE_PLAN_MS = 100
+const REPORT_DELAY_MS = 3
 
 const SERVICE: FleetService = {
   name: SERVICE_NAME,
@@ -29,37 +29,37 @@
   engine: {
     models: [{name: MODEL, weightsMb: 16_100, adapterMb: 14}],
     weightsMb: 16_500,
-    maxAdapters: PLACES,
+    maxAdapters: SLOTS,
     loadsPerSecond: 2,
     batch: 96
   }
 }
 
 interface Engine {
-  readonly held: Set<string>
-  /** On their way to it. */
-  readonly coming: Set<string>
-  /** Adapters held before: their copies are near. */
-  readonly near: Set<string>
+  readonly loaded: Set<string>
+  /** Adapters being loaded. */
+  readonly loading: Set<string>
+  /** Adapters loaded before, whose weights are cached in the host's memory. */
+  readonly cached: Set<string>
   sequence: number
 }
 
 export interface LeaderOptions {
   readonly boxes: number
   readonly engines: number
-  /** The adapter that is asked for next, by its popularity. */
+  /** Draws the next requested adapter by popularity. */
   readonly drawAdapter: () => string
-  /** Calls back after so many milliseconds of simulated time. */
+  /** Calls back after a delay in simulated time. */
   readonly after: (ms: number, act: () => void) => void
   readonly now: () => number
 }
 
 export class BenchLeader {
   readonly fleet = createFleet(0)
-  /** Processor time of the core's decisions, milliseconds. */
+  /** Processor time of the core's decisions. */
   coreMs = 0
   loads = 0
-  /** When an order changed a place of which boxes were not told yet, by engine and adapter. */
+  /** Time of each order whose slot change is not sent to boxes yet, by engine and adapter. */
   readonly orderedAt = new Map<string, number>()
   private readonly engines_ = new Map<string, Engine>()
   private plannedAt_ = -Infinity
@@ -76,11 +76,11 @@
     this.fleet.boxes = options_.boxes
     for (const {id} of listed) {
       const held = new Set<string>()
-      while (held.size < PLACES) held.add(options_.drawAdapter())
+      while (held.size < SLOTS) held.add(options_.drawAdapter())
       this.engines_.set(id, {
-        held,
-        coming: new Set(),
-        near: new Set(held),
+        loaded: held,
+        loading: new Set(),
+        cached: new Set(held),
         sequence: 0
       })
       this.report(id)
@@ -107,11 +107,12 @@
     this.measure(() => takeUses(this.fleet, box, changes, this.options_.now()))
   }
 
-  /** The turn that is due, if one is; what it tells boxes. */
+  /** Plans if a turn is due. Returns the effects to be sent to boxes. */
   planIfDue(): readonly FleetEffect[] {
     const {unplanned, waiting} = this.fleet
-    const gap = waiting.size === 0 ? IDLE_MS : unplanned ? PLAN_MS : WAITING_MS
-    return this.options_.now() - this.plannedAt_ < gap ? [] : this.plan()
+    const intervalMs =
+      waiting.size === 0 ? IDLE_PLAN_MS : unplanned ? CHANGED_PLAN_MS : WAITING_PLAN_MS
+    return this.options_.now() - this.plannedAt_ < intervalMs ? [] : this.plan()
   }
 
   private plan(): readonly FleetEffect[] {
@@ -122,22 +123,22 @@
     })
     for (const effect of effects) {
       if (effect.type === "ask") {
-        this.options_.after(ASK_MS, () => this.report(effect.engine))
-      } else if (effect.type === "order") this.carryOut(effect.engine, effect.order)
+        this.options_.after(REPORT_DELAY_MS, () => this.report(effect.engine))
+      } else if (effect.type === "order") this.executeOrder(effect.engine, effect.order)
     }
     return effects
   }
 
-  private carryOut(id: string, order: FleetOrder): void {
+  private executeOrder(id: string, order: FleetOrder): void {
     const engine = this.engines_.get(id)
     const {adapter} = order
     if (!engine || adapter === undefined) return
     const loads = order.operation === "load"
     this.orderedAt.set(`${id} ${MODEL}/${adapter}`, this.options_.now())
-    this.options_.after(ORDER_MS, () => {
+    this.options_.after(ORDER_DELAY_MS, () => {
       engine.sequence++
       if (loads) this.load(engine, adapter)
-      else engine.held.delete(adapter)
+      else engine.loaded.delete(adapter)
       const result = loads ? "accepted" : "done"
       this.measure(() => takeOrderResult(this.fleet, id, result, this.options_.now()))
     })
@@ -145,23 +146,26 @@
 
   private load(engine: Engine, adapter: string): void {
     this.loads++
-    engine.coming.add(adapter)
-    this.options_.after(engine.near.has(adapter) ? COPY_LOAD_MS : STORE_LOAD_MS, () => {
-      engine.coming.delete(adapter)
-      engine.near.add(adapter)
-      engine.held.add(adapter)
-    })
+    engine.loading.add(adapter)
+    this.options_.after(
+      engine.cached.has(adapter) ? CACHED_LOAD_MS : STORE_LOAD_MS,
+      () => {
+        engine.loading.delete(adapter)
+        engine.cached.add(adapter)
+        engine.loaded.add(adapter)
+      }
+    )
   }
 
   private report(id: string): void {
     const engine = this.engines_.get(id)
     if (!engine) return
-    const adapters = new Map([...engine.held].map(adapter => [adapter, 1]))
+    const adapters = new Map([...engine.loaded].map(adapter => [adapter, 1]))
     const report = {
       sequence: engine.sequence,
       busy: false,
       models: [{name: MODEL, adapters}],
-      pending: [...engine.coming].map(adapter => ({
+      pending: [...engine.loading].map(adapter => ({
         adapter: `${MODEL}/${adapter}`,
         version: 1
       }))
@@ -170,9 +174,9 @@
   }
 
   private measure<T>(act: () => T): T {
-    const begun = performance.now()
+    const startedAt = performance.now()
     const result = act()
-    this.coreMs += performance.now() - begun
+    this.coreMs += performance.now() - startedAt
     return result
   }
 }
--- a/bench/places-links.ts
+++ b/bench/places-links.ts
@@ -1,46 +1,49 @@
-/** Links of a leader to its boxes under simulated time: one line out, and a way to each box. */
+/** Links of a leader to its boxes in simulated time: one shared uplink and a path to each box. */
 
 export interface LinkOptions {
-  /** What the leader's line carries, bytes a millisecond. */
+  /** Throughput of the leader's uplink. */
   readonly bytesPerMs: number
-  /** One way, milliseconds. */
+  /** One-way link delay. */
   readonly delayMs: number
-  /** Share of messages that have to be sent again. */
+  /** Fraction of messages that are lost and sent again. */
   readonly loss: number
-  /** Numbers in [0, 1). */
+  /** Returns random numbers in [0, 1). */
   readonly draw: () => number
 }
 
-/** After a loss the bytes are sent again so much later, milliseconds. */
-const RESEND_MS = 200
+/** Delay of a retransmission after a loss. */
+const RETRANSMISSION_MS = 200
 
-interface Cut {
+interface Outage {
   readonly from: number
   readonly until: number
 }
 
-/** Says when each message arrives. A link keeps its order: what is sent again holds up the rest. */
+/** Computes arrival times. Links keep the order, so a retransmission delays later messages. */
 export class Links {
-  private lineFreeAt_ = 0
+  private uplinkFreeAt_ = 0
   private readonly arrivedAt_ = new Map<number, number>()
-  private readonly cuts_ = new Map<number, Cut>()
+  private readonly outages_ = new Map<number, Outage>()
 
   constructor(private readonly options_: LinkOptions) {}
 
-  /** Nothing reaches the box meanwhile. */
+  /** Lets no message arrive at the box in this period. */
   cut(box: number, from: number, until: number): void {
-    this.cuts_.set(box, {from, until})
+    this.outages_.set(box, {from, until})
   }
 
-  /** When so many bytes that are sent now arrive at a box. */
+  /** Returns when a message of this size that is sent now arrives at a box. */
   send(box: number, bytes: number, now: number): number {
     const {bytesPerMs, delayMs, loss, draw} = this.options_
-    this.lineFreeAt_ = Math.max(this.lineFreeAt_, now) + bytes / bytesPerMs
-    const resent = draw() < loss ? RESEND_MS : 0
-    const alone = this.lineFreeAt_ + delayMs + resent
-    const cut = this.cuts_.get(box)
-    const open = cut && alone >= cut.from && alone < cut.until ? cut.until : alone
-    const at = Math.max(open, this.arrivedAt_.get(box) ?? 0)
+    this.uplinkFreeAt_ = Math.max(this.uplinkFreeAt_, now) + bytes / bytesPerMs
+    const retransmissionMs = draw() < loss ? RETRANSMISSION_MS : 0
+    const undisturbedAt = this.uplinkFreeAt_ + delayMs + retransmissionMs
+    const outage = this.outages_.get(box)
+    const deliverableAt =
+      outage && undisturbedAt >= outage.from && undisturbedAt < outage.until
+        ? outage.until
+        : undisturbedAt
+    const at = Math.max(deliverableAt, this.arrivedAt_.get(box) ?? 0)
     this.arrivedAt_.set(box, at)
     return at
   }
--- a/bench/places-run.ts
+++ b/bench/places-run.ts
@@ -1,4 +1,4 @@
-/** One run of a leader and its boxes under simulated time, and what it counts. */
+/** One run of a leader and its boxes in simulated time, with its counts. */
 import {packDeflated} from "../src/adapters/link-codec.js"
 import {build as buildHistogram} from "hdr-histogram-js"
 import {describeFleet, describeLoads} from "../src/core/placement-news.js"
@@ -14,18 +14,19 @@
   readonly engines: number
   readonly adapters: number
   readonly requestsPerS: number
-  /** Simulated time that is measured, milliseconds. */
+  /** Simulated time during which the run is counted. */
   readonly lengthMs: number
 }
 
-/** What a run counted; bytes and messages over the whole length, times of the processor in milliseconds. */
+/** Totals of a run. `coreMs`, `packMs` and `applyMs` are processor times. */
 export interface Counted {
-  /** Simulated time that was counted, milliseconds; less than 0: the run ended before any was. */
+  /** Simulated time that was counted. 0 or less if the run ended before counting began. */
   readonly countedMs: number
   readonly leaderMessages: number
   readonly leaderBytes: number
-  /** Heard by each box, of what is told to all. */
+  /** Bytes of broadcasts received by each box. */
   readonly boxBytes: number
+  /** Messages received by the leader, and their bytes. */
   readonly heardMessages: number
   readonly heardBytes: number
   readonly needs: number
@@ -33,31 +34,31 @@
   readonly coreMs: number
   readonly packMs: number
   readonly applyMs: number
-  /** From an order to a box's knowledge of it, milliseconds, of half and of 99 in 100 changes told to all. */
+  /** Time from an order until boxes receive the slot change, for changes sent to all boxes. */
   readonly ageP50Ms: number
   readonly ageP99Ms: number
   readonly pictureBytes: number
-  /** Heard by each box if the engines that changed were told as whole pictures. */
+  /** Bytes received by each box if changed engines were sent as full snapshots. */
   readonly picturesBytes: number
-  /** Both ways at the leader if each request were asked for. */
+  /** Bytes at the leader, in both directions, if each request asked it for a slot. */
   readonly askingBytes: number
 }
 
-/** Before this nothing is counted, milliseconds: boxes and leader come to know each other's first news. */
+/** Nothing is counted before, while leader and boxes exchange their initial state. */
 const SETTLE_MS = 500
-/** A run ends early where it takes longer than this, milliseconds of the clock. */
-const LONGEST_MS = 60_000
-/** One box is cut off for so long, from the beginning of what is counted. */
-const CUT_MS = 1_000
-const ZIPF = 1
+/** Limit of the wall-clock time of a run, which ends early beyond it. */
+const MAX_RUN_MS = 60_000
+/** Length of the outage of one box's link, which begins with the counting. */
+const OUTAGE_MS = 1_000
+const ZIPF_EXPONENT = 1
 const SEED = 7
-/** A line of 1 Gbit a second. */
-const LINE_BYTES_PER_MS = 125_000
-const WAY_MS = 2
-const LOSS = 0.001
+/** An uplink of 1 Gbit/s. */
+const UPLINK_BYTES_PER_MS = 125_000
+const LINK_DELAY_MS = 2
+const LOSS_RATIO = 0.001
 const MS_PER_S = 1_000
 
-const NOTHING = {
+const NO_COUNTS = {
   leaderMessages: 0,
   leaderBytes: 0,
   boxBytes: 0,
@@ -68,38 +69,38 @@
 
 export class PlacesRun {
   private now_ = 0
-  private readonly due_ = new Map<number, (() => void)[]>()
+  private readonly timers_ = new Map<number, (() => void)[]>()
   private readonly draw_ = createDraws(SEED)
   private readonly zipf_: () => number
   private readonly leader_: BenchLeader
   private readonly boxes_: BenchBoxes
   private readonly links_: Links
   private readonly ages_ = buildHistogram()
-  private counts_ = {...NOTHING}
+  private counts_ = {...NO_COUNTS}
 
   constructor(private readonly size_: Size) {
     const after = (ms: number, act: () => void): void => this.after(ms, act)
     const now = (): number => this.now_
     const drawAdapter = (): string => this.drawAdapter()
-    this.zipf_ = createZipf(size_.adapters, ZIPF, this.draw_)
+    this.zipf_ = createZipf(size_.adapters, ZIPF_EXPONENT, this.draw_)
     this.leader_ = new BenchLeader({...size_, drawAdapter, after, now})
     this.boxes_ = new BenchBoxes({
       boxes: size_.boxes,
-      wayMs: WAY_MS,
+      wayMs: LINK_DELAY_MS,
       leader: this.leader_,
       draw: this.draw_,
       after,
       now
     })
     this.links_ = new Links({
-      bytesPerMs: LINE_BYTES_PER_MS,
-      delayMs: WAY_MS,
-      loss: LOSS,
+      bytesPerMs: UPLINK_BYTES_PER_MS,
+      delayMs: LINK_DELAY_MS,
+      loss: LOSS_RATIO,
       draw: this.draw_
     })
   }
 
-  /** The picture that a new box is told. */
+  /** Applies the full snapshot that a new box receives, and returns it packed. */
   tellPicture(): Buffer {
     const {fleet} = this.leader_
     const engines = describeFleet(fleet, this.now_)
@@ -113,15 +114,15 @@
     const pictureBytes = this.tellPicture().length
     this.after(SETTLE_MS, () => this.beginCounting())
     const end = SETTLE_MS + this.size_.lengthMs
-    const giveUpAt = performance.now() + LONGEST_MS
+    const expiresAt = performance.now() + MAX_RUN_MS
     let requests = 0
-    for (; this.now_ < end && performance.now() < giveUpAt; this.now_++) {
-      for (const act of this.due_.get(this.now_) ?? []) act()
-      this.due_.delete(this.now_)
+    for (; this.now_ < end && performance.now() < expiresAt; this.now_++) {
+      for (const act of this.timers_.get(this.now_) ?? []) act()
+      this.timers_.delete(this.now_)
       requests += this.size_.requestsPerS / MS_PER_S
       for (; requests >= 1; requests--) this.request()
       this.boxes_.flushUses()
-      for (const effect of this.leader_.planIfDue()) this.tell(effect)
+      for (const effect of this.leader_.planIfDue()) this.handleEffect(effect)
     }
     const {boxes_: boxes, leader_: leader, ages_: ages} = this
     return {
@@ -140,18 +141,18 @@
   }
 
   private beginCounting(): void {
-    this.counts_ = {...NOTHING}
+    this.counts_ = {...NO_COUNTS}
     this.ages_.reset()
     this.boxes_.resetCounts()
     this.leader_.resetCounts()
-    this.links_.cut(0, this.now_, this.now_ + CUT_MS)
+    this.links_.cut(0, this.now_, this.now_ + OUTAGE_MS)
   }
 
   private after(ms: number, act: () => void): void {
     const at = Math.max(this.now_ + 1, Math.round(this.now_ + ms))
-    const there = this.due_.get(at)
-    if (there) there.push(act)
-    else this.due_.set(at, [act])
+    const existing = this.timers_.get(at)
+    if (existing) existing.push(act)
+    else this.timers_.set(at, [act])
   }
 
   private drawAdapter(): string {
@@ -164,18 +165,18 @@
     this.boxes_.request(adapter)
   }
 
-  private tell(effect: FleetEffect): void {
+  private handleEffect(effect: FleetEffect): void {
     if (effect.type === "loads") return this.broadcast({t: "loads", loads: effect.loads})
     if (effect.type !== "places") return
     const {changes, loads, boxes} = effect
     for (const change of changes) this.boxes_.serveWaiting(change)
-    if (boxes) return this.answer(changes, boxes.length)
-    this.counts_.picturesBytes += this.countPictures(changes)
+    if (boxes) return this.countAnswers(changes, boxes.length)
+    this.counts_.picturesBytes += this.measureSnapshotBytes(changes)
     this.broadcast({t: "places", changes, loads})
   }
 
-  /** Boxes that wait are told where their weights will be. */
-  private answer(changes: readonly EngineChange[], boxes: number): void {
+  /** Counts the answers that send waiting boxes the slots of their weights. */
+  private countAnswers(changes: readonly EngineChange[], boxes: number): void {
     this.counts_.leaderMessages += boxes
     this.counts_.leaderBytes += boxes * this.pack({t: "places", changes}).length
   }
@@ -190,23 +191,26 @@
       this.links_.send(box, packed.length, this.now_)
     )
     this.after((arrivals[0] ?? 0) - this.now_, () => this.boxes_.apply(packed))
-    if (message.t === "places") this.noteAges(message.changes, arrivals)
+    if (message.t === "places") this.recordAges(message.changes, arrivals)
   }
 
-  private noteAges(changes: readonly EngineChange[], arrivals: readonly number[]): void {
+  private recordAges(
+    changes: readonly EngineChange[],
+    arrivals: readonly number[]
+  ): void {
     const {orderedAt} = this.leader_
     for (const {engine, places, gone} of changes) {
       for (const adapter of [...places.map(place => place.adapter), ...gone]) {
-        const since = orderedAt.get(`${engine} ${adapter}`)
-        if (since === undefined) continue
-        // What is told once more, as when its load is late, is no change.
+        const orderedAtMs = orderedAt.get(`${engine} ${adapter}`)
+        if (orderedAtMs === undefined) continue
+        // A change sent again, for example when its load is late, is not counted twice.
         orderedAt.delete(`${engine} ${adapter}`)
-        for (const at of arrivals) this.ages_.recordValue(Math.round(at - since))
+        for (const at of arrivals) this.ages_.recordValue(Math.round(at - orderedAtMs))
       }
     }
   }
 
-  private countPictures(changes: readonly EngineChange[]): number {
+  private measureSnapshotBytes(changes: readonly EngineChange[]): number {
     const ids = new Set(changes.map(({engine}) => engine))
     const engines = [...ids].flatMap(id => {
       const engine = this.leader_.fleet.engines.get(id)
@@ -216,9 +220,9 @@
   }
 
   private pack(message: FromLeader): Buffer {
-    const begun = performance.now()
+    const startedAt = performance.now()
     const packed = packDeflated(message)
-    this.counts_.packMs += performance.now() - begun
+    this.counts_.packMs += performance.now() - startedAt
     return packed
   }
 }
--- a/bench/places.ts
+++ b/bench/places.ts
@@ -1,7 +1,7 @@
 /**
- * What every box's knowledge of every place costs, by the number of boxes: the real core and codec of
- * a leader and its boxes under simulated time, over links with rate, delay, loss and a cut. Bytes of
- * other ways of telling the same are counted on the same run.
+ * Measures the cost of keeping every box up to date about every slot, by the number of boxes: the
+ * real core and codec of a leader and its boxes in simulated time, over links with rate, delay,
+ * loss and an outage. Also computes the bytes of alternative protocols from the same run.
  */
 import {settledHeap} from "./measure.js"
 import {PlacesRun, type Size} from "./places-run.js"
@@ -14,10 +14,10 @@
   {boxes: 550, engines: 7_400, adapters: 23_000, requestsPerS: 11_000, lengthMs: 3_000}
 ]
 
-/** Boxes that a box passes news on to, were it told over a tree. */
+/** Boxes to which each box would forward updates in a distribution tree. */
 const TREE_WIDTH = 8
 
-/** Runs the size of so many boxes that is named after the benchmark, or all; a line of JSON each. */
+/** Runs the size whose number of boxes follows the benchmark's name, or all. Prints JSON lines. */
 export function benchPlaces(): void {
   const only = Number(process.argv[3] ?? 0)
   for (const size of SIZES) {
@@ -26,12 +26,12 @@
 }
 
 function measure(size: Size): Record<string, number> {
-  const before = settledHeap()
+  const heapBefore = settledHeap()
   const run = new PlacesRun(size)
-  const unknown = settledHeap()
+  const heapWithLeader = settledHeap()
   run.tellPicture()
-  const boxHeapMb = (settledHeap() - unknown) / 1e6
-  const leaderHeapMb = (unknown - before) / 1e6
+  const boxHeapMb = (settledHeap() - heapWithLeader) / 1e6
+  const leaderHeapMb = (heapWithLeader - heapBefore) / 1e6
   const counted = run.run()
   const {boxes, engines, requestsPerS} = size
   const {countedMs} = counted
--- a/bench/policy-load.ts
+++ b/bench/policy-load.ts
@@ -1,7 +1,7 @@
 /**
- * A load on the real decisions of one cell: the keeper's core over fake engines in simulated time.
- * No network, no boxes: messages arrive at once. Engines batch in steps, load in a time of their
- * own within the weight store's budget, fail some loads, and one restarts empty on the way.
+ * Simulates a load on one cell: the keeper's real core with fake engines in simulated time.
+ * There is no network and no box, so messages arrive at once. Engines batch in steps, need time
+ * to load within the weight store's budget, fail some loads, and one restarts empty.
  */
 import {build, type Histogram} from "hdr-histogram-js"
 import {restoreSnapshot} from "../src/core/configuration.js"
@@ -23,18 +23,18 @@
 
 export interface LoadReport {
   readonly stalls: Histogram
-  /** Of the class `till`. */
+  /** Stalls of the class `till`. */
   readonly urgentStalls: Histogram
-  /** Stalls of the 30 s after the popularity has shifted. */
+  /** Stalls in the 30 s after the popularity has shifted. */
   readonly shiftStalls: Histogram
-  /** Running requests as a part of the batch, over the time in which any ran. */
+  /** Running requests as a fraction of the batch, averaged over the time with any. */
   readonly batchFill: number
   readonly answered: number
   readonly refused: number
   readonly loads: number
 }
 
-/** A request of the load, drawn before the run, alike for all policies of a seed. */
+/** A request of the load, drawn before the run so that all policies of a seed get the same. */
 export interface Arrival {
   readonly at: number
   readonly model: string
@@ -49,7 +49,7 @@
 const MAX_BATCH = 96
 const ZIPF = 1.2
 const RUN_MS = 180_000
-/** Nothing is measured before the engines are warm. */
+/** Nothing is counted before, while the engines warm up. */
 const WARM_MS = 40_000
 const RESTART_MS = 70_000
 const SHIFT_MS = 110_000
@@ -57,12 +57,12 @@
 const STEP_MS = 9.47
 const STEP_MS_PER_REQUEST = 0.0275
 const LOAD_MS = 500
-const FAILED_PART = 0.02
+const LOAD_FAILURE_RATIO = 0.02
 const TICK_MS = 50
 const URGENT_PATIENCE_MS = 5_000
 const PATIENCE_MS = 60_000
 
-/** Draws a load: Zipf's law, and from `SHIFT_MS` on other adapters are the popular ones. */
+/** Draws a load by Zipf's law. From `SHIFT_MS` on, other adapters are the popular ones. */
 export function drawArrivals(seed: number, deployment: Deployment): Arrival[] {
   const draw = createDraws(seed)
   const zipf = createZipf(ADAPTERS, ZIPF, draw)
@@ -77,7 +77,6 @@
   return arrivals
 }
 
-/** Runs a load under a policy. */
 export function runLoad(
   arrivals: readonly Arrival[],
   deployment: Deployment,
@@ -93,12 +92,12 @@
   private readonly draw_: () => number
   private readonly loaded_ = new Map<string, Set<string>>()
   private readonly running_ = new Map<string, Map<string, string>>()
-  private readonly asked_ = new Map<string, Arrival>()
+  private readonly arrivalsByRequest_ = new Map<string, Arrival>()
   private readonly report_ = {answered: 0, refused: 0, loads: 0}
   private readonly stalls_ = build()
   private readonly urgentStalls_ = build()
   private readonly shiftStalls_ = build()
-  private started_ = false
+  private isStarted_ = false
   private filledMs_ = 0
   private busyMs_ = 0
 
@@ -128,12 +127,12 @@
 
   run(): LoadReport {
     this.arrivals_.forEach((arrival, index) =>
-      this.after(arrival.at, () => this.ask(`r${index}`, arrival))
+      this.after(arrival.at, () => this.sendAsk(`r${index}`, arrival))
     )
     this.after(RESTART_MS, () => this.restart("engine-0"))
     for (let at = 0; at < RUN_MS; at += TICK_MS) this.after(at, () => this.tick())
     this.queue_.sort((a, b) => a.at - b.at)
-    this.started_ = true
+    this.isStarted_ = true
     for (let next = this.queue_.shift(); next; next = this.queue_.shift()) {
       this.keeper_.now = next.at
       next.run()
@@ -149,17 +148,17 @@
     }
   }
 
-  /** Keeps the queue in order; most events are soon, so the place is near the front. */
+  /** Inserts in time order. Most events are due soon, so the position is near the front. */
   private after(delayMs: number, run: () => void): void {
     const at = this.keeper_.now + delayMs
-    const place = this.started_ ? this.queue_.findIndex(event => event.at > at) : -1
-    this.queue_.splice(place < 0 ? this.queue_.length : place, 0, {at, run})
+    const position = this.isStarted_ ? this.queue_.findIndex(event => event.at > at) : -1
+    this.queue_.splice(position < 0 ? this.queue_.length : position, 0, {at, run})
   }
 
   private tick(): void {
     const {now} = this.keeper_
-    this.perform(this.keeper_.step({type: "lease-renewed", sentAt: now}))
-    this.perform(this.keeper_.step({type: "tick", epoch: now}))
+    this.executeEffects(this.keeper_.step({type: "lease-renewed", sentAt: now}))
+    this.executeEffects(this.keeper_.step({type: "tick", epoch: now}))
     for (const running of this.running_.values()) {
       if (running.size === 0 || now < WARM_MS) continue
       this.busyMs_ += TICK_MS
@@ -167,13 +166,13 @@
     }
   }
 
-  private tell(message: EntryMessage): void {
-    this.perform(this.keeper_.step({type: "message", from: "entry-0", message}))
+  private sendToKeeper(message: EntryMessage): void {
+    this.executeEffects(this.keeper_.step({type: "message", from: "entry-0", message}))
   }
 
-  private ask(request: string, arrival: Arrival): void {
-    this.asked_.set(request, arrival)
-    this.tell({
+  private sendAsk(request: string, arrival: Arrival): void {
+    this.arrivalsByRequest_.set(request, arrival)
+    this.sendToKeeper({
       t: "ask",
       cell: "cell-1",
       request,
@@ -184,14 +183,14 @@
     })
   }
 
-  private perform(effects: readonly KeeperEffect[]): void {
+  private executeEffects(effects: readonly KeeperEffect[]): void {
     for (const effect of effects) {
-      if (effect.type === "order") this.takeOrder(effect)
-      else if (effect.type === "send") this.takeMessage(effect.message)
+      if (effect.type === "order") this.executeOrder(effect)
+      else if (effect.type === "send") this.handleMessage(effect.message)
     }
   }
 
-  private takeMessage(message: Extract<KeeperEffect, {type: "send"}>["message"]): void {
+  private handleMessage(message: Extract<KeeperEffect, {type: "send"}>["message"]): void {
     const {now} = this.keeper_
     if (message.t === "refuse") {
       if (now > WARM_MS) this.report_.refused++
@@ -206,7 +205,7 @@
   private countStall(request: string, stallMs: number): void {
     const {now} = this.keeper_
     this.stalls_.recordValue(Math.round(stallMs))
-    if (this.asked_.get(request)?.urgent)
+    if (this.arrivalsByRequest_.get(request)?.urgent)
       this.urgentStalls_.recordValue(Math.round(stallMs))
     const sinceShift = now - SHIFT_MS
     if (sinceShift > 0 && sinceShift < SHIFT_SPAN_MS) {
@@ -216,46 +215,46 @@
 
   private serve(request: string, engine: string, model: string): void {
     if (!this.loaded_.get(engine)?.has(model)) {
-      return this.after(1, () => this.done(request, engine, "not-loaded"))
+      return this.after(1, () => this.sendDone(request, engine, "not-loaded"))
     }
     const running = this.running_.get(engine)
     running?.set(request, model)
     const stepMs = STEP_MS + STEP_MS_PER_REQUEST * (running?.size ?? 0)
-    const tokens = this.asked_.get(request)?.tokens ?? 0
+    const tokens = this.arrivalsByRequest_.get(request)?.tokens ?? 0
     this.after(tokens * stepMs, () => {
       if (!running?.delete(request)) return
       if (this.keeper_.now > WARM_MS) this.report_.answered++
-      this.done(request, engine, "ok")
+      this.sendDone(request, engine, "ok")
     })
   }
 
-  private done(request: string, engine: string, result: "ok" | "not-loaded"): void {
-    this.tell({t: "done", cell: "cell-1", request, engine, result})
-    const arrival = this.asked_.get(request)
-    if (result === "not-loaded" && arrival) this.ask(`${request}+`, arrival)
+  private sendDone(request: string, engine: string, result: "ok" | "not-loaded"): void {
+    this.sendToKeeper({t: "done", cell: "cell-1", request, engine, result})
+    const arrival = this.arrivalsByRequest_.get(request)
+    if (result === "not-loaded" && arrival) this.sendAsk(`${request}+`, arrival)
   }
 
   private release(engine: string, model: string): void {
-    const used = [...(this.running_.get(engine)?.values() ?? [])].includes(model)
-    if (used) return
+    const isInUse = [...(this.running_.get(engine)?.values() ?? [])].includes(model)
+    if (isInUse) return
     const grant = Number.MAX_SAFE_INTEGER
-    this.tell({t: "release", cell: "cell-1", fence: 1, engine, model, grant})
+    this.sendToKeeper({t: "release", cell: "cell-1", fence: 1, engine, model, grant})
   }
 
-  private takeOrder({cell, engine, fence, order}: Order): void {
+  private executeOrder({cell, engine, fence, order}: Order): void {
     const sentAt = this.keeper_.now
     const loaded = this.loaded_.get(engine)
     const answer = (delayMs: number, act: () => object) =>
       this.after(delayMs, () => {
         const result = act() as never
         const event = {type: "order-result" as const, cell, engine, fence}
-        this.perform(this.keeper_.step({...event, order, sentAt, result}))
+        this.executeEffects(this.keeper_.step({...event, order, sentAt, result}))
       })
     if (order.order === "list") answer(1, () => ({ok: true, models: [...(loaded ?? [])]}))
     if (order.order === "unload") answer(1, () => ({ok: loaded?.delete(order.model)}))
     if (order.order !== "load") return
     answer(LOAD_MS, () => {
-      if (this.draw_() < FAILED_PART) return {ok: false, reason: "failed"}
+      if (this.draw_() < LOAD_FAILURE_RATIO) return {ok: false, reason: "failed"}
       this.report_.loads++
       loaded?.add(order.model)
       return {ok: true}
@@ -265,7 +264,7 @@
   private restart(engine: string): void {
     this.loaded_.get(engine)?.clear()
     for (const request of this.running_.get(engine)?.keys() ?? []) {
-      this.done(request, engine, "not-loaded")
+      this.sendDone(request, engine, "not-loaded")
     }
     this.running_.get(engine)?.clear()
   }
--- a/bench/relay.ts
+++ b/bench/relay.ts
@@ -1,6 +1,6 @@
 /**
- * Processor time and latency of the entry against a bare `http` to `undici` relay, in one run,
- * as ratios: a streamed answer of 100 tokens, a warm adapter, one caller after another.
+ * Compares processor time and latency of the entry with a bare `http` to `undici` relay in one
+ * run: a streamed answer of 100 tokens with a loaded adapter, for a fixed number of parallel callers.
  */
 import {readFileSync} from "node:fs"
 import {Child} from "../test/support/child.js"
@@ -13,7 +13,7 @@
 const ROUNDS = 5
 const REQUESTS = 300
 const PARALLEL = 8
-/** The goal of issue 3. */
+/** Upper bound of the ratio, from issue 3. */
 const GOAL_CPU_RATIO = 1.5
 const TICKS_PER_SECOND = 100
 
@@ -22,7 +22,7 @@
   readonly latencyMs: number
 }
 
-/** Runs both in turn, several times, and prints the ratios of the medians. */
+/** Measures both in turn for several rounds and compares the medians. */
 export async function benchRelay(): Promise<void> {
   const deployment = await Deployment.start({
     direct: true,
@@ -67,7 +67,7 @@
     for (let count = 0; count < REQUESTS / PARALLEL; count++) {
       const result = await callModel({entry, model, organisation, tokens: TOKENS})
       if (result.kind !== "answered")
-        throw new Error(`a call was ${result.kind}: ${result.code}`)
+        throw new Error(`call to ${entry} was ${result.kind}: ${result.code}`)
       latencies.push(result.firstTokenMs)
     }
   }
@@ -79,7 +79,7 @@
   }
 }
 
-/** Processor time of a process so far, milliseconds, from the kernel. */
+/** Returns the total processor time of a process in milliseconds, from the kernel. */
 export function cpuOf(pid: number): number {
   const stat = readFileSync(`/proc/${pid}/stat`, "utf8")
   const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ")
--- a/bench/rules.ts
+++ b/bench/rules.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- rules`: what a decision costs as rules, against the built-in program. */
+/** `npm run bench -- rules`: compares the cost of decisions by rules and by the built-in program. */
 import {BUILT_IN_POLICY} from "../src/index.js"
 import type {EngineView, Policy, RequestView} from "../src/core/policy.js"
 import {createRulePolicy} from "../src/plugins/rule-policy.js"
@@ -10,7 +10,7 @@
 const CALLS = 20_000
 const ROUNDS = 5
 
-/** The built-in program, written as rules. */
+/** The built-in program expressed as rules. */
 const TEXTS = {
   serve:
     "(engine.running + engine.foreign) / engine.maxBatch - (engine.cachesPrefix ? 0.15 : 0.0)",
@@ -44,7 +44,7 @@
   }
 }
 
-/** Microseconds a call, the median of the rounds. */
+/** Returns the time per call in microseconds, the median of the rounds. */
 function measure(work: () => unknown): number {
   const rounds = Array.from({length: ROUNDS}, () => {
     const startedAt = performance.now()
--- a/bench/soak.ts
+++ b/bench/soak.ts
@@ -1,4 +1,4 @@
-/** `npm run soak -- --seed N --minutes M`: rounds of random faults on the platform's stand-in. */
+/** `npm run soak -- --seed N --minutes M`: runs random faults on the platform's stand-in. */
 import {writeFileSync} from "node:fs"
 import {cac} from "cac"
 import {runSoakRound} from "../test/support/platform-soak.js"
@@ -9,19 +9,19 @@
 cli.option("--minutes <m>", "Start no round after this time", {default: 1})
 cli.option("--seconds <s>", "Length of the faults of a round", {default: 12})
 cli.option("--boxes <n>", "Boxes in each round", {default: 3})
-cli.option("--no-lives", "Servers do not start again under their names")
+cli.option("--no-lives", "Servers do not restart under the same id")
 cli.option(
   "--no-versions",
-  "No series of versions, queues, late orders, silent connections"
+  "No version series, queues, delayed orders or silent connections"
 )
-cli.option("--no-drills", "The store never comes back from an older copy")
-cli.option("--no-leads", "No versions named as the lead changes")
+cli.option("--no-drills", "The store is never restored from an older backup")
+cli.option("--no-leads", "No versions are named while the leadership changes")
 cli.option("--no-organisations", "Callers have no keys, and there are no limits")
 const {options} = cli.parse()
 
 const end = Date.now() + Number(options["minutes"]) * 60_000
 const first = Number(options["seed"])
-let bad = 0
+let failedRounds = 0
 let rounds = 0
 for (let seed = first; seed < first + Number(options["rounds"]); seed++) {
   if (Date.now() > end) break
@@ -36,18 +36,18 @@
     organisations: options["organisations"] !== false
   })
   rounds++
-  if (result.violations.length > 0) bad++
+  if (result.violations.length > 0) failedRounds++
   console.log(
     `seed ${seed}: ${result.calls} calls, ${result.served} served, ` +
       `violations ${result.violations.length}, ${result.faults.join(" ")}`
   )
   for (const violation of result.violations) console.log(`  ${violation}`)
   if (result.violations.length > 0) {
-    // A failure that shows once is a finding: its logs are kept.
+    // Keeps the logs, because the failure may not occur again with the same seed.
     const file = `soak-seed-${seed}.log`
     writeFileSync(file, result.logs)
     console.log(`  logs: ${file}`)
   }
 }
-console.log(`${rounds} rounds, ${bad} with violations`)
-process.exit(bad === 0 && rounds > 0 ? 0 : 1)
+console.log(`${rounds} rounds, ${failedRounds} with violations`)
+process.exit(failedRounds === 0 && rounds > 0 ? 0 : 1)
--- a/bench/workload.ts
+++ b/bench/workload.ts
@@ -1,11 +1,11 @@
-/** Skewed traffic of several organisations against a deployment. */
+/** Sends skewed traffic of several organisations to a deployment. */
 import type {RandomGenerator} from "pure-rand"
 import {createRandom, uniformFloat64} from "../src/utils/random.js"
 import {callModel} from "../test/support/caller.js"
 import type {Deployment} from "../test/support/deployment.js"
 import type {Call} from "../test/support/oracle.js"
 
-/** A source of numbers in [0, 1) with state of its own. */
+/** Creates an independent source of random numbers in [0, 1). */
 export function createDraws(seed: number): () => number {
   let random: RandomGenerator = createRandom(seed)
   return () => {
@@ -15,7 +15,7 @@
   }
 }
 
-/** Draws ranks 0 to `size - 1` with Zipf's law of the given exponent. */
+/** Creates a source of ranks from 0 to `size - 1` that follow Zipf's law. */
 export function createZipf(
   size: number,
   exponent: number,
@@ -42,15 +42,15 @@
   readonly perSecond: number
   readonly exponent: number
   readonly seed: number
-  /** The part of requests that may not be repeated. */
+  /** Fraction of requests that must run at most once. */
   readonly oncePart: number
-  /** The part of those whose caller sends them again at another box, whatever came of it. */
+  /** Fraction of those that the caller also sends to another box, regardless of the result. */
   readonly repeatPart: number
   readonly maxTokens: number
   readonly onSent?: (count: number) => void
 }
 
-/** Sends the workload and resolves with all calls when the last one has ended. */
+/** Sends the workload. Resolves with all calls when the last one has ended. */
 export async function runWorkload(
   deployment: Deployment,
   options: WorkloadOptions
@@ -97,8 +97,8 @@
   calls: Call[]
 ): Promise<void> {
   const first = sendOnce(deployment, plan, plan.box, calls)
-  const again = plan.repeat ? sendOnce(deployment, plan, plan.box + 1, calls) : undefined
-  await Promise.all([first, again])
+  const retry = plan.repeat ? sendOnce(deployment, plan, plan.box + 1, calls) : undefined
+  await Promise.all([first, retry])
 }
 
 async function sendOnce(
