--- a/test/stand-ins/platform-judge.ts
+++ b/test/stand-ins/platform-judge.ts
@@ -7,10 +7,11 @@
   readonly worker: string
   readonly adapter: string
   readonly version: number
+  /** The `last-event-id` of a resuming request, or empty. */
   readonly from: string
   /** When the request reached the worker. */
   readonly reached: number
-  /** When it began to run. Later than `reachedAt` if it waited in the queue. */
+  /** When it began to run. Later than `reached` if it waited in the queue. */
   readonly at: number
   /** The tenant named by the box. Undefined if it named none. */
   readonly tenant?: string
