--- a/bench/places-boxes.ts
+++ b/bench/places-boxes.ts
@@ -5,9 +5,18 @@
 import {packDeflated, packPlain, unpack} from "../src/adapters/link-codec.js"
 import {UseCounts} from "../src/adapters/use-counts.js"
 import {type BoxServing, createBoxServing} from "../src/core/box-state.js"
-import {takeChanges, takeLoads, takePicture} from "../src/core/box-places.js"
-import {gatherMs} from "../src/core/placement-news.js"
-import type {EngineChange, FromLeader, Need, ToLeader} from "../src/types/box-messages.js"
+import {
+  applyEngineDeltas,
+  applyEngineLoads,
+  applyFullSnapshot
+} from "../src/core/box-engines.js"
+import {batchIntervalMs} from "../src/core/placement-updates.js"
+import type {
+  EngineDelta,
+  FromLeader,
+  WeightsRequest,
+  ToLeader
+} from "../src/types/box-messages.js"
 import {adapterKey} from "../src/types/fleet.js"
 import {type BenchLeader, MODEL, SERVICE_NAME} from "./places-leader.js"
 
@@ -73,11 +82,11 @@
     const now = this.options_.now()
     const startedAt = performance.now()
     const message = unpack(packed, packed.length * MAX_UNPACK_RATIO) as FromLeader
-    if (message.t === "engines") takePicture(this.routingBox_, message.engines, now)
-    if (message.t === "loads") takeLoads(this.routingBox_, message.loads)
-    if (message.t === "places") takeChanges(this.routingBox_, message.changes, now)
+    if (message.t === "engines") applyFullSnapshot(this.routingBox_, message.engines, now)
+    if (message.t === "loads") applyEngineLoads(this.routingBox_, message.loads)
+    if (message.t === "places") applyEngineDeltas(this.routingBox_, message.changes, now)
     if (message.t === "places" && message.loads)
-      takeLoads(this.routingBox_, message.loads)
+      applyEngineLoads(this.routingBox_, message.loads)
     this.applyMs += performance.now() - startedAt
     if (message.t === "engines")
       for (const snapshot of message.engines) this.updateHolders(snapshot)
@@ -95,7 +104,7 @@
   }
 
   /** Sends waiting requests to the slots of their adapters as soon as these are ready. */
-  serveWaiting({engine, places}: EngineChange): void {
+  serveWaiting({engine, places}: EngineDelta): void {
     const {after, leader, wayMs} = this.options_
     for (const {adapter, readyInMs} of places) {
       const waiting = this.waiting_.get(adapter) ?? []
@@ -113,7 +122,7 @@
   /** Sends the usage deltas of the boxes that are due. Boxes are spread over the batch interval. */
   flushUses(): void {
     const {boxes, now, leader} = this.options_
-    const intervalMs = Math.max(1, gatherMs(boxes))
+    const intervalMs = Math.max(1, batchIntervalMs(boxes))
     for (let box = now() % intervalMs; box < boxes; box += intervalMs) {
       const changes = this.useCounts_[box]?.drain() ?? []
       if (changes.length === 0) continue
@@ -151,7 +160,7 @@
     this.options_.leader.takeNeed(`box-${box}`, weightsRequest)
   }
 
-  private createWeightsRequest(adapter: string): Need {
+  private createWeightsRequest(adapter: string): WeightsRequest {
     return {
       request: this.weightsRequestCount_.toString(16).padStart(16, "0"),
       service: SERVICE_NAME,
@@ -169,7 +178,7 @@
     let best: string | undefined
     let least = Infinity
     for (const engine of this.holders_.get(key) ?? []) {
-      const load = this.routingBox_.engines.get(engine)?.load ?? 0
+      const load = this.routingBox_.engines.get(engine)?.waitingTokens ?? 0
       if (load >= least) continue
       least = load
       best = engine
@@ -181,7 +190,7 @@
     engine,
     places,
     gone = []
-  }: Omit<EngineChange, "gone"> & {gone?: readonly string[]}): void {
+  }: Omit<EngineDelta, "gone"> & {gone?: readonly string[]}): void {
     for (const {adapter} of places) {
       const holders = this.holders_.get(adapter) ?? new Set<string>()
       this.holders_.set(adapter, holders.add(engine))
--- a/bench/places-leader.ts
+++ b/bench/places-leader.ts
@@ -1,14 +1,19 @@
 /** A leader with the placement of the real core, over simulated engines that execute its orders. */
 import {drainFleet, planFleet} from "../src/core/placement.js"
-import {takeOrderResult} from "../src/core/placement-orders.js"
-import {takeReport} from "../src/core/placement-reports.js"
+import {handleOrderResult} from "../src/core/placement-orders.js"
+import {applyEngineReport} from "../src/core/placement-reports.js"
 import {
   createFleet,
   type FleetEffect,
   type FleetOrder
 } from "../src/core/placement-state.js"
-import {dropNeed, takeEngines, takeNeed, takeUses} from "../src/core/placement-uses.js"
-import type {Need, UseChange} from "../src/types/box-messages.js"
+import {
+  removeWeightsRequest,
+  updateEngines,
+  handleWeightsRequest,
+  applyUseDeltas
+} from "../src/core/placement-uses.js"
+import type {WeightsRequest, EngineUseDelta} from "../src/types/box-messages.js"
 import type {FleetService} from "../src/types/fleet.js"
 
 export const MODEL = "base"
@@ -72,8 +77,8 @@
       dataCentre: "a",
       leaving: false
     }))
-    takeEngines(this.fleet, new Map([[SERVICE_NAME, SERVICE]]), listed, 0)
-    this.fleet.boxes = options_.boxes
+    updateEngines(this.fleet, new Map([[SERVICE_NAME, SERVICE]]), listed, 0)
+    this.fleet.boxCount = options_.boxes
     for (const {id} of listed) {
       const held = new Set<string>()
       while (held.size < SLOTS) held.add(options_.drawAdapter())
@@ -93,25 +98,29 @@
     this.loads = 0
   }
 
-  takeNeed(box: string, need: Need): void {
-    this.fleet.unplanned = true
-    this.measure(() => takeNeed(this.fleet, box, need, this.options_.now()))
+  takeNeed(box: string, need: WeightsRequest): void {
+    this.fleet.needsPlanning = true
+    this.measure(() => handleWeightsRequest(this.fleet, box, need, this.options_.now()))
   }
 
   dropNeed(box: string, request: string): void {
-    this.measure(() => dropNeed(this.fleet, box, request))
+    this.measure(() => removeWeightsRequest(this.fleet, box, request))
   }
 
-  takeUses(box: string, changes: readonly UseChange[]): void {
-    this.fleet.unplanned = true
-    this.measure(() => takeUses(this.fleet, box, changes, this.options_.now()))
+  takeUses(box: string, changes: readonly EngineUseDelta[]): void {
+    this.fleet.needsPlanning = true
+    this.measure(() => applyUseDeltas(this.fleet, box, changes, this.options_.now()))
   }
 
   /** Plans if a turn is due. Returns the effects to be sent to boxes. */
   planIfDue(): readonly FleetEffect[] {
-    const {unplanned, waiting} = this.fleet
+    const {needsPlanning, waitingRequests} = this.fleet
     const intervalMs =
-      waiting.size === 0 ? IDLE_PLAN_MS : unplanned ? CHANGED_PLAN_MS : WAITING_PLAN_MS
+      waitingRequests.size === 0
+        ? IDLE_PLAN_MS
+        : needsPlanning
+          ? CHANGED_PLAN_MS
+          : WAITING_PLAN_MS
     return this.options_.now() - this.plannedAt_ < intervalMs ? [] : this.plan()
   }
 
@@ -140,7 +149,7 @@
       if (loads) this.load(engine, adapter)
       else engine.loaded.delete(adapter)
       const result = loads ? "accepted" : "done"
-      this.measure(() => takeOrderResult(this.fleet, id, result, this.options_.now()))
+      this.measure(() => handleOrderResult(this.fleet, id, result, this.options_.now()))
     })
   }
 
@@ -170,7 +179,7 @@
         version: 1
       }))
     }
-    this.measure(() => takeReport(this.fleet, id, report, this.options_.now()))
+    this.measure(() => applyEngineReport(this.fleet, id, report, this.options_.now()))
   }
 
   private measure<T>(act: () => T): T {
--- a/bench/places-run.ts
+++ b/bench/places-run.ts
@@ -1,9 +1,9 @@
 /** One run of a leader and its boxes in simulated time, with its counts. */
 import {packDeflated} from "../src/adapters/link-codec.js"
 import {build as buildHistogram} from "hdr-histogram-js"
-import {describeFleet, describeLoads} from "../src/core/placement-news.js"
+import {describeFleet, describeLoads} from "../src/core/placement-updates.js"
 import type {FleetEffect, FleetEngine} from "../src/core/placement-state.js"
-import type {EngineChange, EngineNews, FromLeader} from "../src/types/box-messages.js"
+import type {EngineDelta, EngineSnapshot, FromLeader} from "../src/types/box-messages.js"
 import {BenchBoxes} from "./places-boxes.js"
 import {BenchLeader} from "./places-leader.js"
 import {Links} from "./places-links.js"
@@ -176,7 +176,7 @@
   }
 
   /** Counts the answers that send waiting boxes the slots of their weights. */
-  private countAnswers(changes: readonly EngineChange[], boxes: number): void {
+  private countAnswers(changes: readonly EngineDelta[], boxes: number): void {
     this.counts_.leaderMessages += boxes
     this.counts_.leaderBytes += boxes * this.pack({t: "places", changes}).length
   }
@@ -194,10 +194,7 @@
     if (message.t === "places") this.recordAges(message.changes, arrivals)
   }
 
-  private recordAges(
-    changes: readonly EngineChange[],
-    arrivals: readonly number[]
-  ): void {
+  private recordAges(changes: readonly EngineDelta[], arrivals: readonly number[]): void {
     const {orderedAt} = this.leader_
     for (const {engine, places, gone} of changes) {
       for (const adapter of [...places.map(place => place.adapter), ...gone]) {
@@ -210,7 +207,7 @@
     }
   }
 
-  private measureSnapshotBytes(changes: readonly EngineChange[]): number {
+  private measureSnapshotBytes(changes: readonly EngineDelta[]): number {
     const ids = new Set(changes.map(({engine}) => engine))
     const engines = [...ids].flatMap(id => {
       const engine = this.leader_.fleet.engines.get(id)
@@ -227,7 +224,7 @@
   }
 }
 
-function describeEngine({id, models, places}: FleetEngine): EngineNews {
+function describeEngine({id, models, slots: places}: FleetEngine): EngineSnapshot {
   const held = [...places].map(([adapter, {version}]) => ({
     adapter,
     version,
--- a/src/adapters/box-hub.ts
+++ b/src/adapters/box-hub.ts
@@ -2,22 +2,22 @@
  * What a leader tells the boxes that follow it, and what it hears from them: configuration, backend
  * servers, versions, places and loads of engines one way, needs and uses the other.
  */
-import {newestOf} from "../core/adapter-versions.js"
+import {newestVersionOf} from "../core/adapter-versions.js"
 import type {BoxServing} from "../core/box-state.js"
 import type {Leadership} from "../core/leadership.js"
-import {describeFleet, describeLoads, isSmall} from "../core/placement-news.js"
+import {describeFleet, describeLoads, sendsUnbatched} from "../core/placement-updates.js"
 import type {RoutedState} from "../core/serving-fleet.js"
 import type {RoutedEffect, RoutedEvent} from "../core/serving-events.js"
 import type {
-  AskNews,
+  StoreSnapshotRequest,
   FromLeader,
   LeaderRecord,
-  StoreNews,
+  StoreSnapshot,
   ToLeader
 } from "../types/box-messages.js"
 import type {BackendRecord} from "../types/fleet.js"
-import type {RateNews, SendGrant} from "../types/rate-messages.js"
-import type {CrashChanges} from "../types/crash-messages.js"
+import type {RateReport, SendAllowanceGrant} from "../types/rate-messages.js"
+import type {CrashUpdate} from "../types/crash-messages.js"
 import type {AllowanceGrant} from "../types/usage-messages.js"
 import {clockNow} from "./clock.js"
 import {BackendNews, withoutModels} from "./backend-news.js"
@@ -108,17 +108,17 @@
   }
 
   /** Tells all boxes of requests that crash servers. */
-  tellCrashes(changes: CrashChanges): void {
+  tellCrashes(changes: CrashUpdate): void {
     this.links_.broadcast({t: "crashes", changes, whole: false})
   }
 
   /** Tells all boxes what servers take from all of them together. */
-  tellRates(news: readonly RateNews[]): void {
+  tellRates(news: readonly RateReport[]): void {
     this.links_.broadcast({t: "rates", news})
   }
 
   /** Answers the asks of a box for sends to servers that named rates. */
-  grantSends(box: string, grants: readonly SendGrant[]): void {
+  grantSends(box: string, grants: readonly SendAllowanceGrant[]): void {
     this.links_.send(box, {t: "send-grants", grants})
   }
 
@@ -216,7 +216,10 @@
   }
 
   /** What a box is told that has no other way to learn; undefined: this one cannot read the store either. */
-  private async newsFor({configVersion, ageMs}: AskNews): Promise<StoreNews | undefined> {
+  private async newsFor({
+    configVersion,
+    ageMs
+  }: StoreSnapshotRequest): Promise<StoreSnapshot | undefined> {
     const {news, state, leader, eras, log} = this.options_
     try {
       await news.refresh(ageMs)
@@ -241,7 +244,7 @@
 
   /** Where there are many boxes each reads a configuration itself: the leader's link is narrow. */
   private shorten(message: FromLeader): FromLeader {
-    if (message.t !== "config" || isSmall(this.links_.size)) return message
+    if (message.t !== "config" || sendsUnbatched(this.links_.size)) return message
     return {t: "config-named", version: message.config.version}
   }
 
@@ -272,7 +275,7 @@
         : []),
       {
         t: "crashes",
-        changes: {records: serving.crashes.tell(now), cleared: []},
+        changes: {records: serving.crashes.toMessages(now), cleared: []},
         whole: true
       },
       {t: "rates", news: listRates(serving, now)},
@@ -337,12 +340,14 @@
   return [...backends.known.values()].map(({record}) => withoutModels(record))
 }
 
-function listRates({rates}: BoxServing, now: number): RateNews[] {
-  return rates.list().flatMap(server => rates.tell(server, now) ?? [])
+function listRates({advertisedRates: rates}: BoxServing, now: number): RateReport[] {
+  return rates.list().flatMap(server => rates.toMessage(server, now) ?? [])
 }
 
 function listVersions({versions}: BoxServing): (readonly [string, number])[] {
-  return [...versions].map(([adapter, named]) => [adapter, newestOf(named)] as const)
+  return [...versions].map(
+    ([adapter, named]) => [adapter, newestVersionOf(named)] as const
+  )
 }
 
 /** How often a leader of so many boxes, and each of them, says that it lives, milliseconds. */
--- a/src/adapters/routed-box.ts
+++ b/src/adapters/routed-box.ts
@@ -7,19 +7,23 @@
 import {
   handoverMs,
   type LeadershipOptions,
-  leads,
-  mayOrder,
+  isLeader,
+  canOrder,
   takeoverMs
 } from "../core/leadership.js"
 import {type BoxEffect, createBoxServing} from "../core/box-state.js"
 import {nextTickMs, stepRouted} from "../core/serving.js"
 import type {RoutedState} from "../core/serving-fleet.js"
 import type {RoutedEffect, RoutedEvent} from "../core/serving-events.js"
-import {STOOD_STILL_MS} from "../core/news-age.js"
+import {PROCESS_PAUSE_MS} from "../core/snapshot-age.js"
 import {KvUnavailable} from "../errors.js"
 import type {Dialect, FleetRecords} from "../ports/fleet-ports.js"
 import type {KvStore} from "../ports/ports.js"
-import type {AskNews, LeaderRecord, StoreNews} from "../types/box-messages.js"
+import type {
+  StoreSnapshotRequest,
+  LeaderRecord,
+  StoreSnapshot
+} from "../types/box-messages.js"
 import type {BackendRecord} from "../types/fleet.js"
 import type {RoutedSettings} from "../types/routed-settings.js"
 import {createRandom, uniformFloat64} from "../utils/random.js"
@@ -205,7 +209,7 @@
       help: this.help_,
       eras,
       post,
-      boxes: () => serving.boxes,
+      boxes: () => serving.boxCount,
       closed: () => this.stopping_,
       configured: () => this.applyLimits(),
       lost: () => {
@@ -222,7 +226,7 @@
       hub: () => this.hub_,
       leading: () => this.leading,
       mayGive: () => this.mayGive,
-      boxes: () => serving.boxes
+      boxes: () => serving.boxCount
     })
     this.usageStore_ = new UsageStore({
       kv,
@@ -237,7 +241,7 @@
       kv,
       key: `${settings.store.prefix}crashes`,
       leads: () => this.mayGive,
-      list: () => serving.crashes.tell(clockNow()),
+      list: () => serving.crashes.toMessages(clockNow()),
       learned: records =>
         post({type: "crashes", changes: {records, cleared: []}, source: "store"}),
       log
@@ -268,7 +272,7 @@
           this.crashStore_.begin()
         },
         found: leader => this.session_.follow(leader),
-        boxes: () => serving.boxes,
+        boxes: () => serving.boxCount,
         medianAgeMs: now => now - this.medianStartAt_,
         isWeak: () => this.strength_.isWeak,
         renewElsewhere: lease => this.renewElsewhere(lease),
@@ -276,7 +280,7 @@
       }
     )
     eras.listen((known, rose) => {
-      post({type: "era", known, rose})
+      post({type: "era", known, restored: rose})
       if (!rose) return
       this.election_.doubt()
       this.crashStore_.begin()
@@ -384,7 +388,7 @@
       this.strength_.top = this.hub_?.topCapacity ?? 0
       if (this.strength_.leadsTooLong(now)) this.election_.resign()
     }
-    return mayOrder(this.election_.leadership, now)
+    return canOrder(this.election_.leadership, now)
   }
 
   /** Looked at before anything that came meanwhile is believed. */
@@ -400,7 +404,7 @@
       this.election_.doubtLease()
     }
     const gap = now - this.lastTickAt_
-    if (gap < STOOD_STILL_MS) return
+    if (gap < PROCESS_PAUSE_MS) return
     if (gap > PAUSED_MS) this.context_.log("paused", {gapMs: Math.round(gap)})
     this.lastTickAt_ = now
     this.news_.resume(now)
@@ -417,7 +421,7 @@
 
   private fence(): number | undefined {
     const {leadership} = this.election_
-    return mayOrder(leadership, clockNow()) ? leadership.fence : undefined
+    return canOrder(leadership, clockNow()) ? leadership.fence : undefined
   }
 
   private lead(fence: number): void {
@@ -427,7 +431,7 @@
     this.strength_.beginLead(clockNow())
     this.session_.close()
     this.loop_.post({type: "lead"})
-    this.loop_.post({type: "orders", led: true, inMs: Math.max(0, waitMs)})
+    this.loop_.post({type: "orders", hasLeader: true, inMs: Math.max(0, waitMs)})
     this.loop_.post({type: "leader-new"})
     this.crashStore_.begin()
     this.applyLimits()
@@ -446,7 +450,7 @@
   }
 
   /** Has another box read the store, and learns from it who leads. */
-  private async askBoxes(ask: AskNews): Promise<StoreNews | undefined> {
+  private async askBoxes(ask: StoreSnapshotRequest): Promise<StoreSnapshot | undefined> {
     const news = await this.help_.ask(ask)
     if (news?.leader && news.leader.incarnation !== this.incarnation_ && !this.leading) {
       this.session_.follow(news.leader)
@@ -457,7 +461,7 @@
   /** The leader is lost: the next one takes a while to order loads. */
   private expectTakeover(): void {
     const inMs = takeoverMs(this.leadershipOptions_)
-    this.loop_.post({type: "orders", led: false, inMs})
+    this.loop_.post({type: "orders", hasLeader: false, inMs})
   }
 
   private perform(effect: RoutedEffect): void {
@@ -494,7 +498,7 @@
   /** Whether this box leads for sure: what it gives of limits is in the next leader's count. */
   private get mayGive(): boolean {
     const {leadership} = this.election_
-    return this.leading && leads(leadership, clockNow()) && leadership.confirmed
+    return this.leading && isLeader(leadership, clockNow()) && leadership.confirmed
   }
 
   /** Applies the callers' limits of the configuration. */
--- /dev/null
+++ b/src/core/box-send-checks.ts
@@ -0,0 +1,38 @@
+/**
+ * Repeats the checks of a send right before its bytes leave, since the attempt may have
+ * waited for a connection.
+ */
+import {isKeyStillValid} from "./access.js"
+import {isUsable} from "./backend-list.js"
+import {isQuarantined} from "./box-crashes.js"
+import type {AttemptFailure} from "./box-attempt-failures.js"
+import {isSnapshotStale} from "./box-snapshot-age.js"
+import type {BoxServing} from "./box-state.js"
+import {CHARGE_TIMEOUT_MS} from "./usage-limits.js"
+import {backoffRemainingMs} from "./server-notices.js"
+import {canRunOnVersion} from "./box-versions.js"
+
+/** Returns why the attempt must not be sent now, or undefined if it may be. */
+export function findSendObstacle(
+  box: BoxServing,
+  id: string,
+  now: number
+): AttemptFailure | undefined {
+  const request = box.requests.get(id)
+  const attempt = request?.attempt
+  if (!request || !attempt) return "overtaken"
+  const {charge} = attempt
+  if (charge && now - charge.at > CHARGE_TIMEOUT_MS) return "overtaken"
+  if (!isUsable(box.backends, attempt.backend)) return "not-sent"
+  if (backoffRemainingMs(box, attempt.backend, now) > 0) return "overtaken"
+  const {allowedUntil = -Infinity} = attempt
+  if (box.advertisedRates.of(attempt.backend) !== undefined && now > allowedUntil) {
+    return "overtaken"
+  }
+  const {key, organisation} = request.arrival
+  if (!isKeyStillValid(box, key, organisation)) return "overtaken"
+  if (isQuarantined(box, request)) return "overtaken"
+  const holds =
+    !isSnapshotStale(box, now) && canRunOnVersion(box, request, attempt.version, now)
+  return holds ? undefined : "overtaken"
+}
--- a/src/core/box-news.ts
+++ b/src/core/box-snapshot-age.ts
@@ -3,15 +3,15 @@
  * requests.
  */
 import type {BoxServing} from "./box-state.js"
-import {STALE_MS} from "./news-age.js"
-import {type KnownEra, lacksNews} from "./eras.js"
+import {STALE_MS} from "./snapshot-age.js"
+import {type KnownEra, mayLackWrites} from "./eras.js"
 
 /**
  * Records that the snapshot was as recent as can be had at that time. `read` is false if
  * that is so because nobody could read the key-value service.
  */
-export function noteNews(box: BoxServing, at: number, read = true): void {
-  box.newsAt = Math.max(box.newsAt ?? -Infinity, at)
+export function recordSnapshotTime(box: BoxServing, at: number, read = true): void {
+  box.snapshotAt = Math.max(box.snapshotAt ?? -Infinity, at)
   if (read) box.readAt = Math.max(box.readAt ?? -Infinity, at)
 }
 
@@ -19,7 +19,7 @@
  * Records that the configuration in force here was read from the store at that time or
  * earlier.
  */
-export function noteConfigRead(box: BoxServing, at: number): void {
+export function recordConfigRead(box: BoxServing, at: number): void {
   box.configReadAt = Math.max(box.configReadAt ?? -Infinity, at)
 }
 
@@ -29,7 +29,7 @@
  * changes may still be missing from the store, so reads since the restore do not count.
  */
 export function configAgeMs(box: BoxServing, now: number): number {
-  const isJustRestored = lacksNews(box.era, now)
+  const isJustRestored = mayLackWrites(box.era, now)
   return (
     now - ((isJustRestored ? box.configReadBeforeEra : box.configReadAt) ?? -Infinity)
   )
@@ -46,22 +46,22 @@
  * Records the era of the store. When the era goes up, the box keeps its state: what the
  * restored store lacks may have been acknowledged since the last store read.
  */
-export function noteEra(box: BoxServing, era: KnownEra, wentUp: boolean): void {
-  const readAt = readWithoutAt(box, era.by)
-  const configReadAt = era.by - configAgeMs(box, era.by)
+export function applyEra(box: BoxServing, era: KnownEra, wentUp: boolean): void {
+  const readAt = readBeforeUpdateAt(box, era.begunBy)
+  const configReadAt = era.begunBy - configAgeMs(box, era.begunBy)
   box.era = era
   if (!wentUp) return
   // A box that has only read the restored backup has no store read from before it.
-  box.readBeforeEra = readAt !== undefined && readAt < era.by ? readAt : undefined
-  box.configReadBeforeEra = configReadAt < era.by ? configReadAt : undefined
+  box.readBeforeEra = readAt !== undefined && readAt < era.begunBy ? readAt : undefined
+  box.configReadBeforeEra = configReadAt < era.begunBy ? configReadAt : undefined
 }
 
 /**
  * Returns when the store was last read without the update that arrives now, or undefined
  * if no such read is known.
  */
-export function readWithoutAt(box: BoxServing, now: number): number | undefined {
-  return lacksNews(box.era, now) ? box.readBeforeEra : box.readAt
+export function readBeforeUpdateAt(box: BoxServing, now: number): number | undefined {
+  return mayLackWrites(box.era, now) ? box.readBeforeEra : box.readAt
 }
 
 /**
@@ -69,8 +69,8 @@
  * If nobody can read the store, requests still use the snapshot, but it cannot prove an
  * absence.
  */
-export function isCurrent({readAt, era}: BoxServing, now: number): boolean {
-  if (lacksNews(era, now)) return false
+export function isSnapshotCurrent({readAt, era}: BoxServing, now: number): boolean {
+  if (mayLackWrites(era, now)) return false
   return readAt !== undefined && now - readAt <= STALE_MS
 }
 
@@ -79,6 +79,6 @@
  * that arrived meanwhile are handled first and would be sent to servers that left long
  * ago.
  */
-export function isStale({newsAt}: BoxServing, now: number): boolean {
-  return newsAt !== undefined && now - newsAt > STALE_MS
+export function isSnapshotStale({snapshotAt}: BoxServing, now: number): boolean {
+  return snapshotAt !== undefined && now - snapshotAt > STALE_MS
 }
--- a/src/core/serving-fleet.ts
+++ b/src/core/serving-fleet.ts
@@ -1,25 +1,25 @@
 /** Applies events to the state that a box holds as the leader of the engine fleet. */
-import {newestOf} from "./adapter-versions.js"
-import {viewOf} from "./box-places.js"
+import {newestVersionOf} from "./adapter-versions.js"
+import {engineViewOf} from "./box-engines.js"
 import type {BoxServing} from "./box-state.js"
-import {takeOrderResult} from "./placement-orders.js"
+import {handleOrderResult} from "./placement-orders.js"
 import {
-  adoptView,
-  takeLate,
-  takeLifeOver,
-  takeMissing,
-  takeReport
+  adoptEngineView,
+  handleLateWeights,
+  handleIncarnationEnd,
+  handleMissingWeights,
+  applyEngineReport
 } from "./placement-reports.js"
 import {createFleet, type Fleet} from "./placement-state.js"
 import {
-  dropNeed,
+  removeWeightsRequest,
   forgetBox,
-  takeEngines,
-  takeFleetVersion,
-  takeNeed,
-  takeUses
+  updateEngines,
+  setNewestVersion,
+  handleWeightsRequest,
+  applyUseDeltas
 } from "./placement-uses.js"
-import {DEFAULT_USAGE, limitIn, type UsageOptions} from "./usage-limits.js"
+import {DEFAULT_USAGE, windowLimit, type UsageOptions} from "./usage-limits.js"
 import {runningMs} from "./suspensions.js"
 import {type LedgerEffect, UsageLedger} from "./usage-ledger.js"
 import {RatePacer} from "./rate-pacer.js"
@@ -32,7 +32,7 @@
   /** Defined only while this box is the leader. */
   fleet: Fleet | undefined
   /** Retries that this box, as the leader, grants to other boxes. */
-  retries?: RetryPool
+  retryPool?: RetryPool
   /** Usage of organisations, tracked while this box is the leader. */
   ledger?: UsageLedger
   ledgerEffects?: LedgerEffect[]
@@ -41,11 +41,15 @@
 }
 
 /** Applies an event of the leader, or the start or end of this box's leadership. */
-export function takeFleet(state: RoutedState, event: FleetEvent, now: number): void {
+export function applyFleetEvent(
+  state: RoutedState,
+  event: FleetEvent,
+  now: number
+): void {
   if (event.type === "lead") return startLeadership(state, now)
   if (event.type === "lead-over") {
     state.fleet = undefined
-    state.serving.leads = false
+    state.serving.isLeader = false
     delete state.ledger
     delete state.pacer
     return
@@ -55,77 +59,79 @@
   const running = runningMs(state.serving, now)
   switch (event.type) {
     case "need":
-      fleet.unplanned = true
-      return takeNeed(fleet, event.box, event.need, now)
+      fleet.needsPlanning = true
+      return handleWeightsRequest(fleet, event.box, event.need, now)
     case "drop":
-      return dropNeed(fleet, event.box, event.request)
+      return removeWeightsRequest(fleet, event.box, event.request)
     case "uses":
-      fleet.unplanned = true
-      return takeUses(fleet, event.box, event.changes, now)
+      fleet.needsPlanning = true
+      return applyUseDeltas(fleet, event.box, event.changes, now)
     case "missing":
       return event.late
-        ? takeLate(fleet, event.engine, event.adapter, now)
-        : takeMissing(fleet, event.engine, event.adapter, now)
+        ? handleLateWeights(fleet, event.engine, event.adapter, now)
+        : handleMissingWeights(fleet, event.engine, event.adapter, now)
     case "ask-retry": {
       const {box, id, service} = event
-      const allowed = state.retries?.take(service, running) ?? false
+      const allowed = state.retryPool?.tryTake(service, running) ?? false
       fleet.effects.push({type: "retry", box, id, allowed})
       return
     }
     case "usage":
-      return state.ledger?.take(event.box, event.ask, event.entries, running)
+      return state.ledger?.handleUsage(event.box, event.ask, event.entries, running)
     case "usage-read":
-      return state.ledger?.takeStored(event.outlooks, running)
+      return state.ledger?.handleStored(event.outlooks, running)
     case "usage-close":
       return state.ledger?.close(running)
     case "usage-saved":
-      return state.ledger?.noteSaved(event.save, event.ok, running)
+      return state.ledger?.handleSaved(event.save, event.ok, running)
     case "send-asks": {
       const {box, asks} = event
-      const grants = asks.flatMap(ask => state.pacer?.ask(box, ask, running) ?? [])
+      const grants = asks.flatMap(
+        ask => state.pacer?.handleRequest(box, ask, running) ?? []
+      )
       fleet.effects.push({type: "send-grants", box, grants})
       return
     }
     case "sent-lately":
-      for (const sent of event.sent) state.pacer?.noteSent(sent, running)
+      for (const sent of event.sent) state.pacer?.recordSent(sent, running)
       return
     case "box-gone":
       state.ledger?.forgetBox(event.box)
       state.pacer?.forgetBox(event.box)
       return forgetBox(fleet, event.box, now)
     case "life-over":
-      return takeLifeOver(fleet, event.engine, now)
+      return handleIncarnationEnd(fleet, event.engine, now)
     case "report":
-      return takeReport(fleet, event.engine, event.report, now)
+      return applyEngineReport(fleet, event.engine, event.report, now)
     case "order-result":
-      fleet.unplanned = true
-      return takeOrderResult(fleet, event.engine, event.result, now)
+      fleet.needsPlanning = true
+      return handleOrderResult(fleet, event.engine, event.result, now)
   }
 }
 
 function startLeadership(state: RoutedState, now: number): void {
   state.fleet = createFleet(now)
-  state.serving.leads = true
-  state.retries = new RetryPool(
+  state.serving.isLeader = true
+  state.retryPool = new RetryPool(
     state.serving.options.retry,
     runningMs(state.serving, now)
   )
   for (const [adapter, named] of state.serving.versions) {
-    takeFleetVersion(state.fleet, adapter, newestOf(named))
+    setNewestVersion(state.fleet, adapter, newestVersionOf(named))
   }
-  state.fleet.boxes = state.serving.boxes
+  state.fleet.boxCount = state.serving.boxCount
   createLedger(state)
-  const {rates} = state.serving
+  const {advertisedRates: rates} = state.serving
   state.pacer = new RatePacer(server => rates.of(server))
-  listEngines(state, now)
-  for (const [id, held] of state.serving.held) {
+  updateEngineList(state, now)
+  for (const [id, held] of state.serving.recentAdapters) {
     const engine = state.fleet.engines.get(id)
-    for (const [adapter, at] of held) engine?.copies.set(adapter, at)
+    for (const [adapter, at] of held) engine?.cachedWeights.set(adapter, at)
   }
   for (const engine of state.fleet.engines.values()) {
-    engine.isInNeed = rates.of(engine.id) !== undefined
+    engine.isRateLimited = rates.of(engine.id) !== undefined
     const known = state.serving.backends.known.get(engine.id)
-    if (known) adoptView(engine, viewOf(state.serving, known.record), now)
+    if (known) adoptEngineView(engine, engineViewOf(state.serving, known.record), now)
   }
 }
 
@@ -137,7 +143,7 @@
   state.ledger = new UsageLedger(usageOptionsOf(serving), limits, effect =>
     effects.push(effect)
   )
-  if (serving.table && serving.table.limited.size > 0) state.ledger.begin()
+  if (serving.table && serving.table.usageLimits.size > 0) state.ledger.startReading()
 }
 
 function usageOptionsOf({options}: BoxServing): UsageOptions {
@@ -146,15 +152,15 @@
 
 /** Returns the usage allowed in any window, by organisation with a limit. */
 function usageLimitsOf(serving: BoxServing): Map<string, number> {
-  const limits = [...(serving.table?.limited ?? [])]
+  const limits = [...(serving.table?.usageLimits ?? [])]
   const usage = usageOptionsOf(serving)
-  return new Map(limits.map(([name, limit]) => [name, limitIn(limit, usage)]))
+  return new Map(limits.map(([name, limit]) => [name, windowLimit(limit, usage)]))
 }
 
 /** Updates the leader's list of engines from the list of backend servers. */
-export function listEngines({fleet, serving}: RoutedState, now: number): void {
+export function updateEngineList({fleet, serving}: RoutedState, now: number): void {
   const services = serving.table?.services
   if (!fleet || !services) return
   const listed = [...serving.backends.known.values()].map(({record}) => record)
-  takeEngines(fleet, services, listed, now)
+  updateEngines(fleet, services, listed, now)
 }
--- a/test/box-suspensions.test.ts
+++ b/test/box-suspensions.test.ts
@@ -4,10 +4,10 @@
  */
 import t from "tap"
 import {createBoxServing} from "../src/core/box-state.js"
-import {type ServerNotice, takeNotice} from "../src/core/server-notices.js"
+import {type ServerNotice, handleNotice} from "../src/core/server-notices.js"
 import {stepRouted} from "../src/core/serving.js"
 import type {RoutedState} from "../src/core/serving-fleet.js"
-import {noteSuspended, runningMs} from "../src/core/suspensions.js"
+import {applySuspension, runningMs} from "../src/core/suspensions.js"
 import {ROUTE, Subject} from "./support/box-subject.js"
 import {CONFIG, recordOf} from "./patterns/fleet.js"
 
@@ -15,7 +15,7 @@
 
 /** Steps the clock of the subject, which counts as a suspension. */
 function step(subject: Subject): void {
-  noteSuspended({serving: subject.box, fleet: undefined}, STEP_MS)
+  applySuspension({serving: subject.box, fleet: undefined}, STEP_MS)
   subject.now += STEP_MS
 }
 
@@ -37,7 +37,7 @@
   const subject = new Subject()
   for (const server of ["one", "two"]) {
     const said = {...SAYS_NOTHING, restMs: 3_000}
-    takeNotice(subject.box, server, said, subject.now, subject.now)
+    handleNotice(subject.box, server, said, subject.now, subject.now)
   }
   step(subject)
   t.same(subject.arrive(ROUTE).told(), ["end not-run"])
@@ -45,7 +45,7 @@
 
 t.test("a clock step does not refill a window-based budget", async t => {
   const {box, now} = new Subject()
-  noteSuspended({serving: box, fleet: undefined}, STEP_MS)
+  applySuspension({serving: box, fleet: undefined}, STEP_MS)
   t.equal(runningMs(box, now + STEP_MS), now)
 })
 
@@ -64,7 +64,7 @@
         .effects.map(({type}) => type)
         .filter(type => type === "ask" || type === "order")
     stepRouted(state, {type: "config", config: CONFIG}, 0)
-    const reading = {source: "store", at: 0} as const
+    const reading = {source: "store", readAt: 0} as const
     stepRouted(state, {type: "backends", records: [recordOf(0)], reading}, 0)
     stepRouted(state, {type: "lead"}, 0)
     const notice = {...SAYS_NOTHING, restMs: 2_000}
--- a/test/patterns/crashing-requests.ts
+++ b/test/patterns/crashing-requests.ts
@@ -144,14 +144,14 @@
     })
     this.boxes_.push({serving, fleet: undefined})
     this.step(index, {type: "boxes", boxes: this.options_.boxes})
-    this.step(index, {type: "orders", led: true, inMs: 0})
+    this.step(index, {type: "orders", hasLeader: true, inMs: 0})
     this.listServers(index)
   }
 
   private listServers(index: number): void {
     const now = this.agenda_.now
     const records = this.servers_.map((server, i) => this.recordOf(server, i))
-    this.step(index, {type: "backends", records, reading: {source: "store", at: now}})
+    this.step(index, {type: "backends", records, reading: {source: "store", readAt: now}})
   }
 
   private recordOf({life}: Server, index: number): BackendRecord {
@@ -268,7 +268,7 @@
     if (now < from || now >= to) return false
     this.agenda_.later(to - now, () => {
       const leader = this.boxes_[0] as RoutedState
-      const records = leader.serving.crashes.tell(this.agenda_.now)
+      const records = leader.serving.crashes.toMessages(this.agenda_.now)
       for (let i = 1; i < this.boxes_.length; i++) {
         const changes = {records, cleared: []}
         this.step(i, {type: "crashes", changes, source: "leader-all"})
