--- a/bench/capacity-config.ts
+++ b/bench/capacity-config.ts
@@ -1,4 +1,4 @@
-/** Measures the cost of configuration records: memory, snapshot bytes and time of a change. */
+/** Measures memory, snapshot bytes and change time of configuration records. */
 import {applyChanges, listRecords, restoreSnapshot} from "../src/core/configuration.js"
 import type {Configuration, SnapshotRecord} from "../src/types/config.js"
 import {fitLine, type Line, type Point} from "./fit.js"
--- a/bench/capacity-steps.ts
+++ b/bench/capacity-steps.ts
@@ -1,4 +1,4 @@
-/** Measures transitions of a keeper and an entry by the amount in progress, and message sizes. */
+/** Measures message sizes, and transition times by the amount in progress. */
 import {Packr} from "msgpackr"
 import {createEntry, stepEntry} from "../src/core/entry.js"
 import type {EntryOptions} from "../src/core/entry-state.js"
@@ -21,7 +21,7 @@
   builtInPolicy: BUILT_IN_POLICY
 }
 
-/** Creates a keeper that owns one cell, with a linked entry and adapters loaded on every engine. */
+/** Creates a keeper with one cell, a linked entry and adapters loaded on every engine. */
 function makeKeeper(engines: number): KeeperState {
   const keeper = new OwnedKeeper(KEEPER_OPTIONS, makeConfig(64, engines))
   const models = ["base-a/adapter-0@1", "base-a/adapter-1@1"]
@@ -133,7 +133,7 @@
   return fitLine(points)
 }
 
-/** Returns message sizes on a link, with the frame and TCP/IP headers of one packet per message. */
+/** Returns message sizes on a link, with frame and headers of one packet per message. */
 export function measureMessageBytes(): Record<string, number> {
   const packr = new Packr({structuredClone: false})
   const overheadBytes = 66 + 6
--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -1,6 +1,7 @@
 /**
- * Measures the slopes used in docs/CAPACITY.md: the cost of one unit of each kind in memory,
- * processor time, bytes and calls, at four sizes or more. Writes raw numbers to docs/capacity.json.
+ * Measures the slopes used in docs/CAPACITY.md: the cost of one unit of each kind in
+ * memory, processor time, bytes and calls, at four sizes or more. Writes raw numbers to
+ * docs/capacity.json.
  */
 import {writeFileSync} from "node:fs"
 import {fileURLToPath} from "node:url"
--- a/bench/chaos.ts
+++ b/bench/chaos.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run chaos -- --seed N --minutes M`: injects random faults from a seed into real processes
- * under load and judges them by the oracle. Each round starts one deployment.
+ * `npm run chaos -- --seed N --minutes M`: injects random faults from a seed into real
+ * processes under load and judges them by the oracle. Each round starts one deployment.
  */
 import {cac} from "cac"
 import {runChaosRound} from "../test/support/chaos-round.js"
--- a/bench/demo.ts
+++ b/bench/demo.ts
@@ -1,7 +1,7 @@
 /**
- * Demonstrates the main use with the stand-ins: two organisations with 500 adapters on 24 slots.
- * During the run an engine restarts empty and an owner is killed. The table is computed from the
- * callers' results and the engines' logs.
+ * Demonstrates the main use with the stand-ins: two organisations with 500 adapters on 24
+ * slots. During the run an engine restarts empty and an owner is killed. The table is
+ * computed from the callers' results and the engines' logs.
  */
 import {build} from "hdr-histogram-js"
 import {command, Deployment, getJson} from "../test/support/deployment.js"
--- a/bench/drill.ts
+++ b/bench/drill.ts
@@ -1,7 +1,7 @@
 /**
- * `node dist/bench/drill.js --boxes N`: measures the effect on callers, the store and engines when
- * the store is restored from an older backup, with real boxes on the platform's stand-in. Compares
- * ten seconds before and after.
+ * `node dist/bench/drill.js --boxes N`: measures the effect on callers, the store and
+ * engines when the store is restored from an older backup, with real boxes on the
+ * platform's stand-in. Compares ten seconds before and after.
  */
 import {cac} from "cac"
 import {type Outcome, PlatformBed} from "../test/support/platform-bed.js"
@@ -29,7 +29,7 @@
 const pause = (ms: number): Promise<void> =>
   new Promise(resolve => setTimeout(resolve, ms))
 
-/** Calls boxes and adapters in turn for a while, with half of the streams for the first adapter. */
+/** Calls boxes and adapters in turn. Half of the streams use the first adapter. */
 async function callFor(bed: PlatformBed, spanMs: number): Promise<Sample[]> {
   const samples: Promise<Sample>[] = []
   const end = performance.now() + spanMs
--- a/bench/measure.ts
+++ b/bench/measure.ts
@@ -13,7 +13,7 @@
   return times[times.length >> 1] ?? 0
 }
 
-/** Returns the used heap bytes, after a garbage collection if Node.js runs with `--expose-gc`. */
+/** Returns the used heap bytes. Collects garbage first if `--expose-gc` is set. */
 export function settledHeap(): number {
   globalThis.gc?.()
   return process.memoryUsage().heapUsed
--- a/bench/places-boxes.ts
+++ b/bench/places-boxes.ts
@@ -1,6 +1,6 @@
 /**
- * Boxes that route requests by the state of one of them, and send weights requests and usage
- * deltas to their leader.
+ * Boxes that route requests by the state of one of them, and send weights requests and
+ * usage deltas to their leader.
  */
 import {packDeflated, packPlain, unpack} from "../src/adapters/link-codec.js"
 import {UseCounts} from "../src/adapters/use-counts.js"
@@ -52,7 +52,7 @@
   bytes = 0
   /** Processor time in which one box applied the leader's messages. */
   applyMs = 0
-  /** State by which all requests are routed. One process has no memory for the state of each box. */
+  /** State that routes all requests. One process can't hold the state of each box. */
   private readonly routingBox_: BoxServing
   private readonly holders_ = new Map<string, Set<string>>()
   private readonly useCounts_: UseCounts[]
@@ -119,7 +119,7 @@
     }
   }
 
-  /** Sends the usage deltas of the boxes that are due. Boxes are spread over the batch interval. */
+  /** Sends usage deltas of the boxes that are due, spread over the batch interval. */
   flushUses(): void {
     const {boxes, now, leader} = this.options_
     const intervalMs = Math.max(1, batchIntervalMs(boxes))
@@ -131,7 +131,7 @@
     }
   }
 
-  /** Returns the bytes of a weights request for an adapter and its answer with one slot. */
+  /** Returns the bytes of a weights request and its answer with one slot. */
   askedBytes(adapter: string): number {
     const request = packPlain({t: "need", need: this.createWeightsRequest(adapter)})
     const places = [{adapter: adapterKey(MODEL, adapter), version: 1, readyInMs: 0}]
--- a/bench/places-leader.ts
+++ b/bench/places-leader.ts
@@ -1,4 +1,4 @@
-/** A leader with the placement of the real core, over simulated engines that execute its orders. */
+/** A leader with the real core's placement, over simulated engines. */
 import {drainFleet, planFleet} from "../src/core/placement.js"
 import {handleOrderResult} from "../src/core/placement-orders.js"
 import {applyEngineReport} from "../src/core/placement-reports.js"
@@ -64,7 +64,7 @@
   /** Processor time of the core's decisions. */
   coreMs = 0
   loads = 0
-  /** Time of each order whose slot change is not sent to boxes yet, by engine and adapter. */
+  /** Times of orders with slot changes not sent to boxes yet, by engine and adapter. */
   readonly orderedAt = new Map<string, number>()
   private readonly engines_ = new Map<string, Engine>()
   private plannedAt_ = -Infinity
--- a/bench/places-links.ts
+++ b/bench/places-links.ts
@@ -1,4 +1,4 @@
-/** Links of a leader to its boxes in simulated time: one shared uplink and a path to each box. */
+/** Simulated links of a leader to its boxes: a shared uplink and a path to each box. */
 
 export interface LinkOptions {
   /** Throughput of the leader's uplink. */
@@ -19,7 +19,7 @@
   readonly until: number
 }
 
-/** Computes arrival times. Links keep the order, so a retransmission delays later messages. */
+/** Computes arrival times. A retransmission delays later messages of its link. */
 export class Links {
   private uplinkFreeAt_ = 0
   private readonly arrivedAt_ = new Map<number, number>()
--- a/bench/places-run.ts
+++ b/bench/places-run.ts
@@ -20,7 +20,7 @@
 
 /** Totals of a run. `coreMs`, `packMs` and `applyMs` are processor times. */
 export interface Counted {
-  /** Simulated time that was counted. 0 or less if the run ended before counting began. */
+  /** Counted simulated time. 0 or less if the run ended before counting began. */
   readonly countedMs: number
   readonly leaderMessages: number
   readonly leaderBytes: number
@@ -34,7 +34,7 @@
   readonly coreMs: number
   readonly packMs: number
   readonly applyMs: number
-  /** Time from an order until boxes receive the slot change, for changes sent to all boxes. */
+  /** Time from an order until boxes receive the slot change, for broadcast changes. */
   readonly ageP50Ms: number
   readonly ageP99Ms: number
   readonly pictureBytes: number
--- a/bench/places.ts
+++ b/bench/places.ts
@@ -1,7 +1,8 @@
 /**
- * Measures the cost of keeping every box up to date about every slot, by the number of boxes: the
- * real core and codec of a leader and its boxes in simulated time, over links with rate, delay,
- * loss and an outage. Also computes the bytes of alternative protocols from the same run.
+ * Measures the cost of keeping every box up to date about every slot, by the number of
+ * boxes: the real core and codec of a leader and its boxes in simulated time, over links
+ * with rate, delay, loss and an outage. Also computes the bytes of alternative protocols
+ * from the same run.
  */
 import {settledHeap} from "./measure.js"
 import {PlacesRun, type Size} from "./places-run.js"
@@ -17,7 +18,7 @@
 /** Boxes to which each box would forward updates in a distribution tree. */
 const TREE_WIDTH = 8
 
-/** Runs the size whose number of boxes follows the benchmark's name, or all. Prints JSON lines. */
+/** Prints a JSON line for the size with the given number of boxes, or for all sizes. */
 export function benchPlaces(): void {
   const only = Number(process.argv[3] ?? 0)
   for (const size of SIZES) {
--- a/bench/policy-load.ts
+++ b/bench/policy-load.ts
@@ -1,7 +1,8 @@
 /**
- * Simulates a load on one cell: the keeper's real core with fake engines in simulated time.
- * There is no network and no box, so messages arrive at once. Engines batch in steps, need time
- * to load within the weight store's budget, fail some loads, and one restarts empty.
+ * Simulates a load on one cell: the keeper's real core with fake engines in simulated
+ * time. There is no network and no box, so messages arrive at once. Engines batch in
+ * steps, need time to load within the weight store's budget, fail some loads, and one
+ * restarts empty.
  */
 import {build, type Histogram} from "hdr-histogram-js"
 import {restoreSnapshot} from "../src/core/configuration.js"
@@ -34,7 +35,7 @@
   readonly loads: number
 }
 
-/** A request of the load, drawn before the run so that all policies of a seed get the same. */
+/** A request, drawn before the run so that all policies of a seed get the same load. */
 export interface Arrival {
   readonly at: number
   readonly model: string
@@ -62,7 +63,7 @@
 const URGENT_PATIENCE_MS = 5_000
 const PATIENCE_MS = 60_000
 
-/** Draws a load by Zipf's law. From `SHIFT_MS` on, other adapters are the popular ones. */
+/** Draws a load by Zipf's law. After `SHIFT_MS` other adapters are the popular ones. */
 export function drawArrivals(seed: number, deployment: Deployment): Arrival[] {
   const draw = createDraws(seed)
   const zipf = createZipf(ADAPTERS, ZIPF, draw)
@@ -148,7 +149,7 @@
     }
   }
 
-  /** Inserts in time order. Most events are due soon, so the position is near the front. */
+  /** Inserts in time order. Most events are due soon and belong near the front. */
   private after(delayMs: number, run: () => void): void {
     const at = this.keeper_.now + delayMs
     const position = this.isStarted_ ? this.queue_.findIndex(event => event.at > at) : -1
--- a/bench/policy.ts
+++ b/bench/policy.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- policy`: compares the built-in policies on the same loads, one per deployment
- * size and seed, with a clairvoyant eviction in the same queue.
+ * `npm run bench -- policy`: compares the built-in policies on the same loads, one per
+ * deployment size and seed, with a clairvoyant eviction in the same queue.
  */
 import type {EngineView, Policy} from "../src/core/policy.js"
 import {BUILT_IN_POLICY, POLICY_PROGRAMS} from "../src/index.js"
@@ -70,7 +70,7 @@
   }
 }
 
-/** Returns the bound for other policies: evicts the model whose next use is furthest away. */
+/** Returns the bound for other policies: evicts the model with the latest next use. */
 function clairvoyant(arrivals: readonly Arrival[]): Policy {
   const times = new Map<string, number[]>()
   for (const {model, at} of arrivals) times.set(model, [...(times.get(model) ?? []), at])
--- a/bench/relay.ts
+++ b/bench/relay.ts
@@ -1,6 +1,7 @@
 /**
- * Compares processor time and latency of the entry with a bare `http` to `undici` relay in one
- * run: a streamed answer of 100 tokens with a loaded adapter, for a fixed number of parallel callers.
+ * Compares processor time and latency of the entry with a bare `http` to `undici` relay
+ * in one run: a streamed answer of 100 tokens with a loaded adapter, for a fixed number
+ * of parallel callers.
  */
 import {readFileSync} from "node:fs"
 import {Child} from "../test/support/child.js"
--- a/bench/rules.ts
+++ b/bench/rules.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- rules`: compares the cost of decisions by rules and by the built-in program. */
+/** `npm run bench -- rules`: compares decision times of rules and built-in program. */
 import {BUILT_IN_POLICY} from "../src/index.js"
 import type {EngineView, Policy, RequestView} from "../src/core/policy.js"
 import {createRulePolicy} from "../src/plugins/rule-policy.js"
--- a/bench/soak.ts
+++ b/bench/soak.ts
@@ -1,4 +1,4 @@
-/** `npm run soak -- --seed N --minutes M`: runs random faults on the platform's stand-in. */
+/** `npm run soak -- --seed N --minutes M`: random faults on the platform's stand-in. */
 import {writeFileSync} from "node:fs"
 import {cac} from "cac"
 import {runSoakRound} from "../test/support/platform-soak.js"
--- a/bench/workload.ts
+++ b/bench/workload.ts
@@ -44,7 +44,7 @@
   readonly seed: number
   /** Fraction of requests that must run at most once. */
   readonly oncePart: number
-  /** Fraction of those that the caller also sends to another box, regardless of the result. */
+  /** Fraction of those that callers also send to another box, whatever the result. */
   readonly repeatPart: number
   readonly maxTokens: number
   readonly onSent?: (count: number) => void
--- a/test/fault-proxy.test.ts
+++ b/test/fault-proxy.test.ts
@@ -1,4 +1,4 @@
-/** The fault proxy of the tests: connections that become silent forever while new ones work. */
+/** The fault proxy of the tests: connections become silent while new ones work. */
 import {once} from "node:events"
 import {type AddressInfo, connect, createServer, type Socket} from "node:net"
 import {setTimeout as sleep} from "node:timers/promises"
--- a/test/model-copy.test.ts
+++ b/test/model-copy.test.ts
@@ -1,4 +1,4 @@
-/** A box's view of a server when the store is restored from older backups, explored exhaustively. */
+/** Explores a box's view of a server when the store is restored from older backups. */
 import t from "tap"
 import {explore, findViolation} from "./model/explore.js"
 import * as restore from "./model/copy-spec.js"
--- a/test/model-lead.test.ts
+++ b/test/model-lead.test.ts
@@ -1,4 +1,4 @@
-/** Leadership over engines without fencing tokens, explored exhaustively. Each guard is needed. */
+/** Explores leadership over engines without fencing tokens. Each guard is needed. */
 import t from "tap"
 import {type Exploration, explore, findViolation} from "./model/explore.js"
 import * as leadership from "./model/lead-spec.js"
@@ -18,14 +18,14 @@
   t.ok(states > 1_000, `${states} states`)
 })
 
-/** Guards that matter only when the store is restored, with the situation that shows each. */
+/** Guards that matter only after a restore, with the situation that shows each. */
 const RESTORE_GUARDS: ReadonlyMap<keyof leadership.Guards, leadership.State> = new Map([
   ["ownOnlyInEra", leadership.RETURNS.claimed],
   ["waitEra", leadership.RETURNS.ordering],
   ["leaseOfEra", leadership.RETURNS.renewing]
 ])
 
-/** Explores a restore until leaders of the new era have sent orders. Releases would add nothing. */
+/** Explores a restore until new leaders have sent orders. Releases would add nothing. */
 function exploreRestore(
   initial: leadership.State,
   guards: leadership.Guards
--- a/test/model.test.ts
+++ b/test/model.test.ts
@@ -1,4 +1,4 @@
-/** Explores the specifications exhaustively. Without any one guard there is a counterexample. */
+/** Explores the specifications. Without any one guard there is a counterexample. */
 import t from "tap"
 import {type Exploration, explore} from "./model/explore.js"
 import * as once from "./model/once-spec.js"
@@ -38,8 +38,9 @@
 }
 
 /**
- * With fences, the engine's own check makes some guards redundant. Without fences, each guard is
- * needed, except the one about cancels, which only engines that check fences support.
+ * With fences, the engine's own check makes some guards redundant. Without fences, each
+ * guard is needed, except the one about cancels, which only engines that check fences
+ * support.
  */
 for (const guard of Object.keys(ownership.ALL_GUARDS) as (keyof ownership.Guards)[]) {
   t.test(`without the guard ${guard} an adapter in use is unloaded`, async t => {
--- a/test/model/copy-spec.ts
+++ b/test/model/copy-spec.ts
@@ -1,14 +1,14 @@
 /**
- * Specification of a box's view of one server when the store is restored from older backups. The
- * box may run on or start anew. The server may restart once and may leave. A backup may be of any
- * earlier moment. Shares no code with the core. In one unit of time a live server writes its entry
- * and a box reads it.
+ * Specification of a box's view of one server when the store is restored from older
+ * backups. The box may run on or start anew. The server may restart once and may leave. A
+ * backup may be of any earlier moment. Shares no code with the core. In one unit of time
+ * a live server writes its entry and a box reads it.
  */
 
 export interface Guards {
-  /** For a while after a restore, an entry of an earlier incarnation than the known one is ignored. */
+  /** For a while after a restore, entries of earlier incarnations are ignored. */
   readonly withholdEarlierIncarnation: boolean
-  /** So is an entry of a server that was unknown before the restore, because it may have left since. */
+  /** So are entries of servers unknown before the restore, which may have left. */
   readonly withholdUnknown: boolean
   /** A box that starts while the era is not settled ignores all entries for a while. */
   readonly distrustAtStart: boolean
@@ -25,7 +25,7 @@
 
 /** Age at which an entry that is not written expires. */
 const ENTRY_EXPIRY = 2
-/** How long restored entries are ignored: until entries that nobody writes have expired. */
+/** How long restored entries are ignored: until unwritten ones have expired. */
 const DISTRUST = ENTRY_EXPIRY + 1
 
 /** How long after it left a server may still be used. */
@@ -60,7 +60,7 @@
   readonly incarnation: number
   /** Time since the server left, up to a bound. -1 while it is live. */
   readonly sinceLeft: number
-  /** Whether the store has lacked the entry for a whole unit, so that boxes could read the departure. */
+  /** Whether the store lacked the entry for a whole unit, so that boxes could read it. */
   readonly isPublished: boolean
   readonly store: StoreContent
   /** Time since the entry was written by its incarnation. */
@@ -120,7 +120,7 @@
 
 export const ACTIONS: readonly Action[] = ACTION_TYPES.map(type => ({type}))
 
-/** Whether requests go to a server that left, or a live incarnation is never used again. */
+/** Whether requests go to a server that left, or a live one is never used again. */
 export function isViolated({
   sinceLeft,
   isPublished,
@@ -129,7 +129,7 @@
   box
 }: State): boolean {
   if (!box.up) return false
-  // A departure that a restore undid before boxes could read it counts only once entries have expired.
+  // A departure that boxes could not read before a restore counts after entries expired.
   const mustBeKnown = sinceLeft > DRAIN && (isPublished || sinceRestore === DISTRUST)
   const usesLeftServer = mustBeKnown && box.target !== NONE
   const refusesLiveServer = sinceLeft < 0 && box.ended.includes(incarnation)
--- a/test/model/explore.ts
+++ b/test/model/explore.ts
@@ -8,12 +8,12 @@
   readonly violation: string | undefined
 }
 
-/** Far above what the specifications reach. An exploration is complete or the test fails. */
+/** Far above what specifications reach. Explorations are complete or the test fails. */
 const STATE_LIMIT = 3_000_000
 
 /**
- * Explores all states that actions can reach. Passes only actions that lead to a new state to the
- * library, because its queue would otherwise hold every transition.
+ * Explores all states that actions can reach. Passes only actions that lead to a new
+ * state to the library, because its queue would otherwise hold every transition.
  */
 export function explore<S extends object, A extends EventObject>(
   initial: S,
@@ -41,7 +41,7 @@
   return {states, violation: violating && JSON.stringify(violating.state.context)}
 }
 
-/** Returns the violating state nearest to the initial one. Undefined if none is reachable. */
+/** Returns the nearest violating state. Undefined if none is reachable. */
 export function findViolation<S extends object, A>(
   initial: S,
   actions: readonly A[],
--- a/test/model/lead-spec.ts
+++ b/test/model/lead-spec.ts
@@ -1,26 +1,27 @@
 /**
- * Specification of leadership over engines that check no fencing tokens: two boxes, one lease,
- * orders with a delay of up to one unit of time. No engine may receive orders of two boxes within
- * GAP. The store may be restored from an older backup, which lacks the lease and assigns lease
- * numbers again. Shares no code with the core. The unit of time is the lease's margin.
+ * Specification of leadership over engines that check no fencing tokens: two boxes, one
+ * lease, orders with a delay of up to one unit of time. No engine may receive orders of
+ * two boxes within GAP. The store may be restored from an older backup, which lacks the
+ * lease and assigns lease numbers again. Shares no code with the core. The unit of time
+ * is the lease's margin.
  */
 
 export interface Guards {
   /** A new leader waits for the minimum time between orders of two leaders. */
   readonly waitGap: boolean
-  /** It also waits for an order's delay, because the former leader may have sent one in its last turn. */
+  /** It also waits for an order that the former leader may have sent in its last turn. */
   readonly waitMargin: boolean
   /** A lease counts from when its request was sent, not from the answer. */
   readonly leaseFromSend: boolean
   /** Lease and wait are checked in the turn in which an order is sent. */
   readonly checkAtSend: boolean
-  /** A box leads again without waiting only if it could send orders in its last leadership. */
+  /** A box skips the wait only if it could send orders in its last leadership. */
   readonly ownOnlyIfItCouldOrder: boolean
-  /** Nor may it skip the wait if a restore came since, because another box may have led meanwhile. */
+  /** Nor may it skip the wait after a restore: another box may have led since. */
   readonly ownOnlyInEra: boolean
-  /** A leader of a new era waits until those of the previous era have expired by their own clocks. */
+  /** A new era's leader waits until earlier leases expired by their holders' clocks. */
   readonly waitEra: boolean
-  /** A lease of the previous era is not renewed, even if the store has one of the same number. */
+  /** A lease of the previous era is not renewed, even if its number is in use. */
   readonly leaseOfEra: boolean
 }
 
@@ -52,7 +53,7 @@
   readonly renewalAge: number
   /** Whether the store has executed that renewal. */
   readonly isRenewalTaken: boolean
-  /** Whether it has decided on an order that is not sent. It may be paused before it sends it. */
+  /** Whether it has decided on an order. It may be paused before it sends it. */
   readonly hasDecided: boolean
   /** Time since its order was sent. -1 if none is under way. */
   readonly orderAge: number
@@ -113,7 +114,7 @@
     ...RESTORED,
     boxes: [{...IDLE, lease: TTL - 1, isLeaseStale: true, renewalAge: 1}, IDLE]
   },
-  /** A box led a moment ago. The other one has claimed the lease since and still waits. */
+  /** A box has just led. The other one has claimed the lease since and waits. */
   claimed: {
     ...RESTORED,
     boxes: [
@@ -123,7 +124,7 @@
   }
 }
 
-/** Whether leaders of the new era have sent orders, which ends the exploration of a restore. */
+/** Whether leaders of the new era have sent orders, which ends the exploration. */
 export function isEraOver({eraAge}: State): boolean {
   return eraAge >= EXPLORED_AGE
 }
@@ -166,7 +167,7 @@
       const handoverWait =
         (guards.waitGap ? GAP : 0) + (guards.waitMargin ? ORDER_DELAY : 0)
       const eraWait = guards.waitEra ? Math.max(0, TTL - state.eraAge) : 0
-      // A box need not wait for itself. Another box that led meanwhile would have waited as long.
+      // A box need not wait for itself: another leader would have waited as long.
       const sameEra = self.sinceLeadership < state.eraAge || !guards.ownOnlyInEra
       const skipsWait = self.sinceLeadership < HANDOVER_WAIT && sameEra
       const wait = skipsWait ? 0 : handoverWait + eraWait
@@ -175,7 +176,7 @@
         {holder: box, leaseLeft: TTL}
       )
     }
-    // It still leads by its own clock, so no other box led in the previous era. It keeps leading.
+    // By its own clock it still leads, so no other box led in the previous era.
     case "confirm":
       if (!self.isLeaseStale || self.lease === 0) return state
       if (state.holder !== -1) return updateBox(endLeadership(self, guards))
@@ -243,7 +244,7 @@
   }
 }
 
-/** Advances the time of all boxes by one unit. Not enabled if an order would exceed its delay. */
+/** Advances time by one unit. Not enabled if an order would exceed its delay. */
 function advanceTime(state: State, guards: Guards): State {
   if (state.boxes.some(({orderAge}) => orderAge >= ORDER_DELAY)) return state
   const boxes = state.boxes.map(box => ({
--- a/test/model/once-spec.ts
+++ b/test/model/once-spec.ts
@@ -1,6 +1,7 @@
 /**
- * Specification of the register: one idempotency key, two attempts at different entries, two
- * successive owners, and a log whose last bucket a new owner seals. Shares no code with the core.
+ * Specification of the register: one idempotency key, two attempts at different entries,
+ * two successive owners, and a log whose last bucket a new owner seals. Shares no code
+ * with the core.
  */
 
 export interface Guards {
@@ -102,7 +103,7 @@
     owners[owner] = {...self, ...change}
     return {owners}
   }
-  // The first owner may still act after the second has taken over, for example after a pause.
+  // The first owner may still act after the takeover, for example after a pause.
   switch (type) {
     case "ask":
       return phase === "new" ? putAttempt("asked") : state
@@ -143,7 +144,7 @@
         lied: state.answeredNotRun[attempt]
       })
     case "giveUp":
-      // The entry ends an attempt. The key is freed only if the attempt certainly did not run.
+      // Ends an attempt. The key is freed only if the attempt certainly did not run.
       if (self.holder !== attempt || self.writing) return state
       if (phase === "granted") return putAttempt("refused", putOwner({holder: -1}))
       if (phase === "ran" && !guards.freeOnlyNotRun) {
--- a/test/model/ownership-spec.ts
+++ b/test/model/ownership-spec.ts
@@ -1,10 +1,11 @@
 /**
- * Specification of ownership and pins, small enough for an exhaustive exploration: one engine
- * with one adapter, two keepers, one entry. Shares no code with the core.
+ * Specification of ownership and pins, small enough for an exhaustive exploration: one
+ * engine with one adapter, two keepers, one entry. Shares no code with the core.
  *
- * Time is abstract. A keeper's own view of its lease ends before the service's (`margin`), and a
- * takeover waits until an order under way has arrived (`takeoverWait`), as the settings require.
- * A process may take its next step at any later time, so a pause is the absence of steps.
+ * Time is abstract. A keeper's own view of its lease ends before the service's
+ * (`margin`), and a takeover waits until an order under way has arrived (`takeoverWait`),
+ * as the settings require. A process may take its next step at any later time, so a pause
+ * is the absence of steps.
  */
 
 /** Assumptions of the protocol. A test removes each and expects a counterexample. */
@@ -13,7 +14,7 @@
   readonly leaseCheck: boolean
   /** The service's lease outlives the holder's own view of it. */
   readonly margin: boolean
-  /** No claim while an order of the former owner, or an earlier own one, may be under way. */
+  /** No claim while an order of the former owner or an earlier own one is under way. */
   readonly takeoverWait: boolean
   /** A new owner unloads nothing before it has received the entry's inventory. */
   readonly inventory: boolean
@@ -29,7 +30,7 @@
   readonly noGrantWhileUnloading: boolean
   /** An inventory opens a new link, and grants under way over the old one are lost. */
   readonly linkDropsGrants: boolean
-  /** A restarted engine has lost its cancels, so the entry's inventory is required again. */
+  /** A restarted engine has lost its cancels, so an inventory is required again. */
   readonly recancel: boolean
 }
 
@@ -58,7 +59,7 @@
   readonly entryHolds: boolean
   /** Whether it has an unload under way. It grants nothing until it has the outcome. */
   readonly unloading: boolean
-  /** Whether it had the engine cancel the requests of a silent entry, in place of an inventory. */
+  /** Whether the engine cancelled a silent entry's requests in place of an inventory. */
   readonly cancelled: boolean
 }
 
@@ -71,7 +72,7 @@
   readonly entry: {
     readonly fence: number
     readonly holds: boolean
-    /** Whether a request is in progress, or its end not confirmed, in the entry's view. */
+    /** Whether the entry counts a request as in progress or its end as unconfirmed. */
     readonly busy: boolean
   }
   readonly engine: {
@@ -81,7 +82,7 @@
   }
   /** Fence of the grant under way, of which there is at most one. 0 if there is none. */
   readonly grant: number
-  /** Whether the grant is newer than the last cancel, so the engine's floor does not cover it. */
+  /** Whether the grant is newer than the last cancel and the engine's floor. */
   readonly grantIsNew: boolean
   /** Fence of the unload under way, of which there is at most one. 0 if there is none. */
   readonly unload: number
@@ -230,7 +231,7 @@
       )
     }
     case "inventoryLate":
-      // The inventory waited in a buffer while its keeper was paused, so it is out of date.
+      // The inventory was buffered while its keeper was paused, so it is out of date.
       return keeper.owns === 0 || keeper.owns >= state.entry.fence
         ? state
         : updateKeeper({heardEntry: true, entryHolds: false, cancelled: false})
@@ -337,7 +338,7 @@
     case "load": {
       // An owner doesn't load an adapter while an unload of it is under way.
       if (engine.loaded || state.unload !== 0) return state
-      // An owner loads only what it has seen to be missing, so it has noticed the restart.
+      // An owner loads only what it saw to be missing, so it noticed the restart.
       const [first, second] = state.keepers
       const keepers = guards.recancel
         ? ([awaitInventoryAgain(first), awaitInventoryAgain(second)] as const)
@@ -355,7 +356,7 @@
   }
 }
 
-/** Ends the unload for its sender, which gets the outcome by the answer or the engine's list. */
+/** Ends an unload: its sender learns the outcome by the answer or the engine's list. */
 function settleUnload(state: State): State {
   const [first, second] = state.keepers
   return {
@@ -372,7 +373,7 @@
   return keeper.cancelled ? {...keeper, heardEntry: false, cancelled: false} : keeper
 }
 
-/** Runs a request at the engine, unless its grant is cancelled or its adapter is not loaded. */
+/** Runs a request unless its grant is cancelled or its adapter is not loaded. */
 function dispatch(state: State, grant: number, {checksFences}: SpecOptions): State {
   const {engine, entry} = state
   if (!engine.loaded || (checksFences && grant < engine.floor)) return state
--- a/test/stand-in-engine.test.ts
+++ b/test/stand-in-engine.test.ts
@@ -1,6 +1,6 @@
 /**
- * The stand-in engine's queue and delayed orders. A queued request begins later with the adapters
- * loaded then, or not at all.
+ * The stand-in engine's queue and delayed orders. A queued request begins later with the
+ * adapters loaded then, or not at all.
  */
 import {setTimeout as sleep} from "node:timers/promises"
 import t from "tap"
--- a/test/stand-ins/engine.ts
+++ b/test/stand-ins/engine.ts
@@ -1,6 +1,7 @@
 /**
- * Stand-in for a model engine. It batches continuously in steps, has few adapter slots, and
- * follows the published HTTP conventions of serving engines. Its log is the tests' oracle.
+ * Stand-in for a model engine. It batches continuously in steps, has few adapter slots,
+ * and follows the published HTTP conventions of serving engines. Its log is the tests'
+ * oracle.
  */
 import {request as httpRequest, Agent} from "undici"
 import type {ServerResponse} from "node:http"
@@ -30,7 +31,7 @@
   cutAfter?: number
   /** Number of load answers that are lost after the load took effect. */
   loseLoadAnswers?: number
-  /** Resume requests are answered with this status, and with `x-not-run` if `notRun` is given. */
+  /** Resume requests are answered with this status, and `x-not-run` if given. */
   refuseResume?: {status: number; notRun?: string}
   /** Number of requests from other senders that the load report adds, though none run. */
   foreign?: number
@@ -58,7 +59,7 @@
 const checksFences = option("fences", "yes") === "yes"
 const resumes = option("resumes", "no") === "yes"
 const weightStore = option("weights", "")
-/** How long a stream continues without a connection, and how long a finished one is kept. */
+/** How long a stream continues without a connection, and is kept after its end. */
 const LINGER_MS = 1_500
 const agent = new Agent({connections: 4})
 
@@ -75,7 +76,7 @@
 const cancelFloors = new Map<string, {fence: number; grant: number}>()
 const log: LogLine[] = []
 const steps = {count: 0, filled: 0}
-/** By adapter: tokens generated, and the sum of the batch fill of the steps that generated them. */
+/** By adapter: generated tokens, and the summed batch fill of their steps. */
 const fills = new Map<string, {tokens: number; fill: number}>()
 let faults: Faults = {}
 let highestFence = 0
@@ -304,7 +305,7 @@
   call.reply(200, {})
 }
 
-/** Ends one request, or all requests of an entry up to a grant, which are refused from then on. */
+/** Ends one request, or all of an entry up to a grant and refuses them from then on. */
 function cancel(call: StandInRequest): void {
   const {request_id, entry, grant} = call.body as Record<string, string | number>
   if (entry !== undefined) {
--- a/test/stand-ins/kv.ts
+++ b/test/stand-ins/kv.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the key-value service. Implements the part of etcd's JSON gateway that is used. */
+/** Stand-in for the key-value service: the used part of etcd's JSON gateway. */
 import {serveStandIn, type StandInRequest} from "./serve.js"
 import type {ServerResponse} from "node:http"
 
--- a/test/stand-ins/named-rates.ts
+++ b/test/stand-ins/named-rates.ts
@@ -1,4 +1,4 @@
-/** Rate limits that stand-in workers advertise in their answers, with the answers that did. */
+/** Rate limits that stand-in workers advertise in their answers. */
 
 /** An answer of a worker that advertised its rate limit. */
 export interface Told {
@@ -21,7 +21,7 @@
 export class NamedRates {
   readonly all: NamedRate[] = []
 
-  /** Records what the worker advertises from now on. Undefined or an unreadable value means no limit. */
+  /** Records what the worker advertises from now on. Invalid values mean no limit. */
   set(worker: string, rate: string | readonly string[] | undefined): void {
     const now = performance.now()
     const current = this.current(worker)
--- a/test/stand-ins/platform-judge.ts
+++ b/test/stand-ins/platform-judge.ts
@@ -64,7 +64,7 @@
   readonly arrived: Arrived[] = []
   readonly crashes: Crash[] = []
   readonly rests: Rest[] = []
-  /** Starts of a new incarnation of a worker. Notices of the former incarnation no longer apply. */
+  /** Starts of new incarnations, to which notices of the former ones don't apply. */
   readonly reborn: {readonly worker: string; readonly at: number}[] = []
   readonly leaves: Leave[] = []
   readonly rates = new NamedRates()
--- a/test/stand-ins/platform-store.ts
+++ b/test/stand-ins/platform-store.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the platform's key-value store: keys, leases, watches and injected faults. */
+/** Stand-in for the platform's store: keys, leases, watches and injected faults. */
 import {
   createServer,
   type IncomingMessage,
@@ -37,15 +37,15 @@
   until: number
 }
 
-/** A drill: the store is unreachable for a while and is then restored from an older backup. */
+/** A drill: an outage of the store and its restore from an older backup. */
 export interface Drill {
   /** Age of the backup when the store is restored. */
   readonly copyAgeMs: number
   /** Length of the outage before the restore. */
   readonly awayMs: number
   /**
-   * Time from the restore until operators repeat their writes that the backup lacks. Undefined
-   * means never. Backend servers write with their next heartbeat.
+   * Time from the restore until operators repeat their writes that the backup lacks.
+   * Undefined means never. Backend servers write with their next heartbeat.
    */
   readonly rewriteMs?: number
   /** Whether operators repeat their writes in reverse order. */
@@ -79,7 +79,7 @@
 /** How long changes can be undone, which limits the age of a backup. */
 const UNDO_MS = 15_000
 
-/** After a restore, entries of servers that have not written expire after three heartbeats. */
+/** After a restore, unwritten entries of servers expire after three heartbeats. */
 const SILENT_ENTRY_MS = 900
 
 const SERVERS = "servers/"
@@ -140,7 +140,7 @@
     this.server_.close()
   }
 
-  /** Writes a key as the platform's own side does. Writing the current value is no change. */
+  /** Writes a key as the platform itself does. The current value is no change. */
   write(key: string, value: object): void {
     const text = Buffer.from(JSON.stringify(value)).toString("base64")
     this.wroteAt_.set(key, performance.now())
@@ -174,8 +174,8 @@
   }
 
   /**
-   * Simulates an outage and a restore from a backup that is some seconds old. Writes and leases
-   * since the backup are lost, and revisions are assigned again.
+   * Simulates an outage and a restore from a backup that is some seconds old. Writes and
+   * leases since the backup are lost, and revisions are assigned again.
    */
   async drill(drill: Drill): Promise<void> {
     this.isAway_ = true
@@ -199,7 +199,7 @@
     }
   }
 
-  /** Restores the state of that time and returns the lost writes of operators, oldest first. */
+  /** Restores the state. Returns the lost writes of operators, oldest first. */
   private restoreState(backupAt: number): [key: string, value: string][] {
     const lost = new Map<string, string>()
     for (
--- a/test/stand-ins/platform-worker.ts
+++ b/test/stand-ins/platform-worker.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the platform's workers: engines with adapter slots, and plain services. */
+/** Stand-in for the platform's workers: engines with slots, and plain services. */
 import {
   createServer,
   type IncomingMessage,
@@ -44,12 +44,12 @@
 /** When a worker crashes because of a request whose body asks for it. */
 export type CrashMoment = "before-head" | "in-stream" | "after-end"
 
-/** Returns a request body that crashes each worker that runs it. `name` distinguishes requests. */
+/** Returns a body that crashes each worker running it. `name` distinguishes requests. */
 export function crashingBody(name: string, moment: CrashMoment): string {
   return JSON.stringify({crash: moment, name})
 }
 
-/** A proxy in front of a worker, which accepts no connections while the worker is down. */
+/** A proxy in front of a worker. It accepts no connections while the worker is down. */
 export interface WorkerFront {
   readonly down: () => Promise<void>
   readonly up: () => Promise<void>
@@ -72,7 +72,7 @@
 
 const HEARTBEAT_MS = 300
 
-/** Statuses of refused orders: stale fencing token, or another order sequence than expected. */
+/** Statuses of refused orders: stale fencing token, or unexpected order sequence. */
 const STALE_FENCE = 412
 const WRONG_SEQUENCE = 409
 
@@ -138,8 +138,8 @@
   }
 
   /**
-   * Sets the rate limit header of its answers. Several values are sent as several headers.
-   * Undefined means no header.
+   * Sets the rate limit header of its answers. Several values are sent as several
+   * headers. Undefined means no header.
    */
   nameRate(rate: string | readonly string[] | undefined): void {
     this.rate_ = rate
@@ -166,9 +166,9 @@
   }
 
   /**
-   * Crashes and starts again under its id, empty and with reset counters. With `moved` it listens
-   * on another port. `bornBefore` (milliseconds) sets the start time of the new incarnation that
-   * much before the former one's, as after a clock change.
+   * Crashes and starts again under its id, empty and with reset counters. With `moved` it
+   * listens on another port. `bornBefore` (milliseconds) sets the start time of the new
+   * incarnation that much before the former one's, as after a clock change.
    */
   async restart({moved = false, bornBefore = 0} = {}): Promise<void> {
     if (this.isDown_) return
@@ -189,7 +189,7 @@
     this.writeHeartbeat()
   }
 
-  /** Crashes and starts again after a while under its id, empty and with reset counters. */
+  /** Crashes and starts again later under its id, empty and with reset counters. */
   private async crash(body: string): Promise<void> {
     if (this.isDown_) return
     this.isDown_ = true
@@ -222,7 +222,7 @@
     this.writeHeartbeat()
   }
 
-  /** Drops all state at the end of an incarnation. Its advertised rate limit no longer applies. */
+  /** Drops all state of an incarnation. Its advertised rate limit no longer applies. */
   private resetState(): void {
     this.judge_.rates.set(this.id, undefined)
     this.judge_.rates.set(this.id, this.rate_)
@@ -239,8 +239,8 @@
   }
 
   /**
-   * Ends like a crash: connections are closed and the entry stays for a while. Connections are
-   * not reset, because Node 20 may spin at exit after a reset.
+   * Ends like a crash: connections are closed and the entry stays for a while.
+   * Connections are not reset, because Node 20 may spin at exit after a reset.
    */
   stop(): void {
     this.isStopped_ = true
@@ -551,7 +551,7 @@
     return run
   }
 
-  /** Returns tenant and tokens named by the request. Records a violation if it has a caller's key. */
+  /** Returns tenant and tokens. A caller's key must not reach a worker. */
   private readRequester(id: string, {headers}: IncomingMessage): Partial<Run> {
     const {"x-tenant-id": tenant, "x-token-usage": usage} = headers
     if (headers["x-api-key"] !== undefined) {
@@ -600,7 +600,7 @@
     return this.executeOrder(order)
   }
 
-  /** Runs an action after a delay, or at once if it is 0. Dropped if the incarnation ends before. */
+  /** Runs an action after a delay, unless the incarnation ends before. */
   private delayAction(delayMs: number, action: () => void): void {
     if (delayMs === 0) return action()
     const timer = setTimeout(() => {
@@ -647,7 +647,7 @@
     return 202
   }
 
-  /** Unloads once the running requests of the adapter have ended. New ones are refused meanwhile. */
+  /** Unloads after the running requests have ended. New ones are refused meanwhile. */
   private unload(adapter: string): number {
     const version = this.adapters.get(adapter)
     this.adapters.delete(adapter)
--- a/test/stand-ins/worker-queue.ts
+++ b/test/stand-ins/worker-queue.ts
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Drops all queued requests without an answer, because the worker's incarnation ends. */
+  /** Drops all queued requests without an answer when the worker's incarnation ends. */
   clear(): void {
     for (const waiting of [...this.waiting_.keys()]) this.remove(waiting)
   }
