--- a/test/support/chaos-round.ts
+++ b/test/support/chaos-round.ts
@@ -1,4 +1,4 @@
-/** One round of random faults from a seed, two at a time, under load. */
+/** Chaos round: injects random faults drawn from a seed, two at a time, under load. */
 import {createDraws, runWorkload} from "../../bench/workload.js"
 import {command, Deployment} from "./deployment.js"
 import {countViolations, judge, readEngines} from "./oracle.js"
@@ -11,34 +11,34 @@
   readonly outcomes: ReadonlyMap<string, number>
 }
 
-const FAULTS = 6
-const REQUESTS = 400
-const PER_SECOND = 40
+const FAULT_COUNT = 6
+const REQUEST_COUNT = 400
+const REQUESTS_PER_SECOND = 40
 
-type Pick = <T>(items: readonly T[]) => T
+type PickRandom = <T>(items: readonly T[]) => T
 
 interface Fault {
   readonly name: string
-  /** Begins the fault and resolves with what ends it. */
+  /** Starts the fault and resolves with a function that ends it. */
   readonly begin: (
     deployment: Deployment,
-    pick: Pick
+    pick: PickRandom
   ) => Promise<() => Promise<void> | void>
   readonly lastsMs: number
 }
 
-/** Longer than a lease and its takeover, with the times of tests. */
-const LONG_MS = 4_000
-const SHORT_MS = 1_200
+/** Longer than the expiry and takeover of a lease with `TEST_TIMING`. */
+const LONG_FAULT_MS = 4_000
+const SHORT_FAULT_MS = 1_200
 
-const CATALOGUE: readonly Fault[] = [
-  {name: "kill-keeper", lastsMs: SHORT_MS, begin: killOf("keeper")},
-  {name: "kill-entry", lastsMs: SHORT_MS, begin: killOf("entry")},
-  {name: "stop-keeper", lastsMs: LONG_MS, begin: pauseOf("keeper")},
-  {name: "stop-entry", lastsMs: LONG_MS, begin: pauseOf("entry")},
+const FAULTS: readonly Fault[] = [
+  {name: "kill-keeper", lastsMs: SHORT_FAULT_MS, begin: kill("keeper")},
+  {name: "kill-entry", lastsMs: SHORT_FAULT_MS, begin: kill("entry")},
+  {name: "stop-keeper", lastsMs: LONG_FAULT_MS, begin: pause("keeper")},
+  {name: "stop-entry", lastsMs: LONG_FAULT_MS, begin: pause("entry")},
   {
     name: "kv-outage",
-    lastsMs: LONG_MS,
+    lastsMs: LONG_FAULT_MS,
     begin: async ({kv}) => {
       kv.proxy.set({blockUp: true, blockDown: true})
       return () => kv.proxy.set()
@@ -46,18 +46,18 @@
   },
   {
     name: "kv-one-way",
-    lastsMs: SHORT_MS,
+    lastsMs: SHORT_FAULT_MS,
     begin: async ({kv}) => {
       kv.proxy.set({blockDown: true})
       return () => kv.proxy.set()
     }
   },
-  {name: "kv-lost-answers", lastsMs: SHORT_MS, begin: kvFault({loseAnswers: 5})},
-  {name: "kv-throttled", lastsMs: SHORT_MS, begin: kvFault({rate: 5})},
-  {name: "kv-slow", lastsMs: SHORT_MS, begin: kvFault({delayMs: 300})},
+  {name: "kv-lost-answers", lastsMs: SHORT_FAULT_MS, begin: kvFault({loseAnswers: 5})},
+  {name: "kv-throttled", lastsMs: SHORT_FAULT_MS, begin: kvFault({rate: 5})},
+  {name: "kv-slow", lastsMs: SHORT_FAULT_MS, begin: kvFault({delayMs: 300})},
   {
     name: "leases-lapse",
-    lastsMs: SHORT_MS,
+    lastsMs: SHORT_FAULT_MS,
     begin: async ({kv}) => {
       await command(kv, "lapse")
       return () => undefined
@@ -65,7 +65,7 @@
   },
   {
     name: "keeper-cut",
-    lastsMs: LONG_MS,
+    lastsMs: LONG_FAULT_MS,
     begin: async ({boxes}, pick) => {
       const {keeperProxy} = pick(boxes)
       keeperProxy.set(pick([{blockUp: true}, {blockDown: true}, {delayMs: 100}]))
@@ -74,7 +74,7 @@
   },
   {
     name: "engine-cut",
-    lastsMs: SHORT_MS,
+    lastsMs: SHORT_FAULT_MS,
     begin: async ({engines}, pick) => {
       const {proxy} = pick(engines)
       if (pick([true, false])) proxy.cut()
@@ -84,7 +84,7 @@
   },
   {
     name: "resume-refused",
-    lastsMs: SHORT_MS,
+    lastsMs: SHORT_FAULT_MS,
     begin: async ({engines}, pick) => {
       const engine = pick(engines)
       const refusal = pick([{status: 412, notRun: "stale-grant"}, {status: 429}])
@@ -95,7 +95,7 @@
   },
   {
     name: "engine-restart",
-    lastsMs: SHORT_MS,
+    lastsMs: SHORT_FAULT_MS,
     begin: async ({engines}, pick) => {
       const engine = pick(engines)
       engine.proxy.cut()
@@ -105,7 +105,7 @@
   },
   {
     name: "loads-fail",
-    lastsMs: SHORT_MS,
+    lastsMs: SHORT_FAULT_MS,
     begin: async ({engines}, pick) => {
       const engine = pick(engines)
       await command(engine, "fault", {failLoads: 3, loseLoadAnswers: 1})
@@ -114,7 +114,7 @@
   },
   {
     name: "engine-leaves",
-    lastsMs: LONG_MS,
+    lastsMs: LONG_FAULT_MS,
     begin: async ({engines, platform}, pick) => {
       await command(platform, "leaving", [pick(engines).name])
       return () => command(platform, "leaving", [])
@@ -122,10 +122,10 @@
   }
 ]
 
-/** Runs one round; everything it draws comes from the seed. */
+/** Runs one round. All random choices come from the seed. */
 export async function runChaosRound(seed: number): Promise<ChaosResult> {
   const draw = createDraws(seed)
-  const pick: Pick = items => items[Math.floor(draw() * items.length)] as never
+  const pick: PickRandom = items => items[Math.floor(draw() * items.length)] as never
   const deployment = await Deployment.start({
     boxes: 3,
     engines: [
@@ -138,15 +138,15 @@
   })
   try {
     const load = runWorkload(deployment, {
-      requests: REQUESTS,
-      perSecond: PER_SECOND,
+      requests: REQUEST_COUNT,
+      perSecond: REQUESTS_PER_SECOND,
       exponent: 1.1,
       seed,
       oncePart: 0.3,
       repeatPart: 0.5,
       maxTokens: 60
     })
-    const faults = await disturb(deployment, pick)
+    const faults = await injectFaults(deployment, pick)
     const calls = await load
     const violations = judge(calls, await readEngines(deployment))
     const count = countViolations(violations)
@@ -162,10 +162,10 @@
   }
 }
 
-/** Faults in two overlapping rows. */
-async function disturb(deployment: Deployment, pick: Pick): Promise<string[]> {
+/** Runs the faults in two concurrent sequences and returns their names. */
+async function injectFaults(deployment: Deployment, pick: PickRandom): Promise<string[]> {
   const names: string[] = []
-  const plan = Array.from({length: FAULTS}, () => pick(CATALOGUE))
+  const plan = Array.from({length: FAULT_COUNT}, () => pick(FAULTS))
   const run = async (faults: readonly Fault[]) => {
     for (const fault of faults) {
       names.push(fault.name)
@@ -174,11 +174,14 @@
       await end()
     }
   }
-  await Promise.all([run(plan.slice(0, FAULTS / 2)), run(plan.slice(FAULTS / 2))])
+  await Promise.all([
+    run(plan.slice(0, FAULT_COUNT / 2)),
+    run(plan.slice(FAULT_COUNT / 2))
+  ])
   return names
 }
 
-function killOf(role: "entry" | "keeper"): Fault["begin"] {
+function kill(role: "entry" | "keeper"): Fault["begin"] {
   return async (deployment, pick) => {
     const box = pick(deployment.boxes)
     await box[role].end("SIGKILL")
@@ -188,7 +191,7 @@
   }
 }
 
-function pauseOf(role: "entry" | "keeper"): Fault["begin"] {
+function pause(role: "entry" | "keeper"): Fault["begin"] {
   return async ({boxes}, pick) => {
     const child = pick(boxes)[role]
     child.signal("SIGSTOP")
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -1,5 +1,5 @@
 /* eslint-disable @typescript-eslint/no-explicit-any */
-/** A deployment of real processes with stand-ins for the platform, for tests and the demo. */
+/** Deployment of real processes on stand-ins for the platform, for tests and the demo. */
 import {mkdtempSync, writeFileSync} from "node:fs"
 import {tmpdir} from "node:os"
 import {join} from "node:path"
@@ -14,7 +14,7 @@
 export const OPERATOR_KEY = "operator-key"
 export const agent = new Agent({connections: 256, keepAliveTimeout: 1_000})
 
-/** Times for tests: the production ones, about five times as fast. */
+/** Timing settings for tests, about a fifth of the production values. */
 export const TEST_TIMING = {
   leaseTtlMs: 2_000,
   renewMs: 400,
@@ -38,7 +38,7 @@
   readonly slots?: number
   readonly batch?: number
   readonly fences?: boolean
-  /** Its streams can be resumed. */
+  /** Broken streams can be resumed. */
   readonly resumes?: boolean
   readonly loadMs?: number
   readonly stepMs?: number
@@ -47,7 +47,10 @@
 export interface DeploymentOptions {
   readonly boxes?: number
   readonly engines?: readonly EngineOptions[]
-  /** Adapters of each base model; `a0`, `a1` and so on, version 1, organisations in turn. */
+  /**
+   * Number of adapters of each base model. They are named `BASE-a0`, `BASE-a1` and so
+   * on, have version 1, and are assigned to the organisations in turn.
+   */
   readonly adapters?: number
   readonly organisations?: readonly string[]
   readonly timing?: Partial<typeof TEST_TIMING>
@@ -56,9 +59,9 @@
   readonly loadsPerSecond?: number
   readonly loadsAtOnce?: number
   readonly serviceMembers?: number
-  /** Reach engines and keepers without the fault proxy, for measurements. */
+  /** Connects to engines and keepers without the fault proxy, for measurements. */
   readonly direct?: boolean
-  /** Poll and watch as seldom as in production, for measurements. */
+  /** Polls and watches at production intervals, for measurements. */
   readonly calm?: boolean
 }
 
@@ -69,7 +72,7 @@
   readonly entryOps: string
   readonly keeperOps: string
   readonly adminUrl: string
-  /** In front of the keeper: what entries reach it through. */
+  /** Proxy between the entries and the keeper. */
   readonly keeperProxy: FaultProxy
   entry: Child
   keeper: Child
@@ -79,7 +82,7 @@
 export interface StandIn {
   readonly name: string
   readonly url: string
-  /** In front of it: what the deployment reaches it through. */
+  /** Proxy between the deployment and the stand-in. */
   readonly proxy: FaultProxy
   readonly child: Child
 }
@@ -104,7 +107,7 @@
     this.organisations = options.organisations ?? ["cotejo"]
   }
 
-  /** Starts everything, and waits until it serves. */
+  /** Starts all processes and waits until they serve requests. */
   static async start(options: DeploymentOptions = {}): Promise<Deployment> {
     const deployment = new Deployment(options)
     try {
@@ -154,18 +157,22 @@
   async stop(): Promise<void> {
     const children = [
       ...this.boxes.flatMap(box => [box.entry, box.keeper, box.admin]),
-      ...[this.kv, this.platform, ...this.engines, ...this.services].map(it => it?.child)
+      ...[this.kv, this.platform, ...this.engines, ...this.services].map(
+        standIn => standIn?.child
+      )
     ]
     for (const child of children) child?.signal("SIGCONT")
     await Promise.all(children.map(child => child?.end()))
     const proxies = [
       ...this.boxes.map(box => box.keeperProxy),
-      ...[this.kv, this.platform, ...this.engines, ...this.services].map(it => it?.proxy)
+      ...[this.kv, this.platform, ...this.engines, ...this.services].map(
+        standIn => standIn?.proxy
+      )
     ]
     for (const proxy of proxies) proxy?.close()
   }
 
-  // Parts
+  // Processes
 
   private async standIn(
     name: string,
@@ -194,7 +201,7 @@
     this.engines.push({...standIn, base})
   }
 
-  /** Adds a box with all three processes; resolves when each of them listens. */
+  /** Adds a box with its three processes. Resolves when all of them listen. */
   async addBox(index: number): Promise<Box> {
     const ports: number[] = []
     for (let count = 0; count < 6; count++) ports.push(await freePort())
@@ -305,7 +312,7 @@
       })
     }
     for (const base of bases) records.push(...this.adapterRecords(base))
-    // Several changes, each all or nothing, below the limit of a change's size.
+    // Each change is atomic and limited in size, so the records are split over several.
     for (let start = 0; start < records.length; start += 500) {
       await this.change(records.slice(start, start + 500))
     }
@@ -352,18 +359,18 @@
     body?: unknown,
     box = this.boxes[0]
   ): Promise<any> {
-    const answer = await request(`${box?.adminUrl}${path}`, {
+    const response = await request(`${box?.adminUrl}${path}`, {
       method: method as "GET",
       headers: {authorization: `Bearer ${OPERATOR_KEY}`},
       ...(body !== undefined && {body: JSON.stringify(body)}),
       dispatcher: agent
     })
-    const value = (await answer.body.json()) as any
-    if (answer.statusCode >= 400) throw Object.assign(new Error(value.title), value)
+    const value = (await response.body.json()) as any
+    if (response.statusCode >= 400) throw Object.assign(new Error(value.title), value)
     return value
   }
 
-  /** The box whose keeper owns a share now. */
+  /** Waits for a box whose keeper owns the share, and returns it. */
   async ownerOf(share: string): Promise<Box> {
     return until(`owner of ${share}`, async () => {
       for (const box of this.boxes) {
@@ -377,44 +384,44 @@
     })
   }
 
-  /** A box other than the given one. */
+  /** Returns a box other than the given one. */
   otherThan(box: Box): Box {
     const other = this.boxes.find(candidate => candidate !== box)
-    if (!other) throw new Error("there is no other box")
+    if (!other) throw new Error(`the deployment has no box besides ${box.name}`)
     return other
   }
 
-  /** The organisation that owns a model. */
+  /** Returns the organisation that owns a model. */
   organisationOf(model: string): string {
     const index = Number(/-a(\d+)@/.exec(model)?.[1] ?? 0)
     return this.organisations[index % this.organisations.length] ?? ""
   }
 }
 
-/** An organisation's key in tests. */
+/** Returns an organisation's API key in tests. */
 export function keyOf(organisation: string): string {
   return `key-of-${organisation}`
 }
 
-/** A JSON document. */
+/** Fetches a JSON document. */
 export async function getJson(url: string): Promise<any> {
-  const answer = await request(url, {
+  const response = await request(url, {
     dispatcher: agent,
     signal: AbortSignal.timeout(3_000)
   })
-  return answer.body.json()
+  return response.body.json()
 }
 
-/** A command to a stand-in. */
+/** Sends a command to a stand-in. */
 export async function command(
   standIn: StandIn,
   path: string,
   body: unknown = {}
 ): Promise<void> {
-  const answer = await request(`${standIn.url}/stand-in/${path}`, {
+  const response = await request(`${standIn.url}/stand-in/${path}`, {
     method: "POST",
     body: JSON.stringify(body),
     dispatcher: agent
   })
-  await answer.body.dump()
+  await response.body.dump()
 }
--- a/test/support/fault-proxy.ts
+++ b/test/support/fault-proxy.ts
@@ -1,30 +1,30 @@
-/** A TCP proxy that can cut, stall and delay what passes through it, each way for itself. */
+/** TCP proxy that closes, blocks (each direction separately) or delays connections. */
 import {connect, createServer, type Server, type Socket} from "node:net"
 
 export interface ProxyFaults {
-  /** Nothing passes towards the server; connections stay open. */
+  /** Blocks data towards the server. Connections stay open. */
   readonly blockUp?: boolean
-  /** Nothing passes back. */
+  /** Blocks data from the server. Connections stay open. */
   readonly blockDown?: boolean
-  /** New connections are refused by closing them. */
+  /** Closes new connections at once. */
   readonly refuse?: boolean
   readonly delayMs?: number
 }
 
-/** One way of a connection. */
-interface Way {
+/** One direction of a connection. */
+interface Direction {
   readonly from: Socket
   readonly to: Socket
-  /** What came while the way was blocked, as in the buffers of a cut line. */
-  readonly held: Buffer[]
+  /** Data received while the direction was blocked; sent when it is unblocked. */
+  readonly buffered: Buffer[]
   readonly isBlocked: () => boolean
-  /** Nothing passes any more, not even its end; its sender sees no difference. */
+  /** Discards all data and the end of the stream. The sender doesn't notice. */
   silent: boolean
 }
 
 export class FaultProxy {
   private faults_: ProxyFaults = {}
-  private readonly ways_ = new Set<Way>()
+  private readonly directions_ = new Set<Direction>()
 
   private constructor(
     private readonly server_: Server,
@@ -39,41 +39,51 @@
       server.listen(0, "127.0.0.1", () => {
         const address = server.address()
         if (address === null || typeof address === "string")
-          return reject(new Error("no port"))
+          return reject(
+            new Error("fault proxy has no port: its server has no TCP address")
+          )
         const proxy = new FaultProxy(server, address.port)
-        server.on("connection", near => proxy.join(near, target))
+        server.on("connection", client => proxy.accept(client, target))
         resolve(proxy)
       })
     })
   }
 
-  /** Faults from now on; without an argument none. */
+  /** Replaces the active faults. Without an argument, clears them. */
   set(faults: ProxyFaults = {}): void {
     this.faults_ = faults
-    for (const way of this.ways_) this.release(way)
+    for (const direction of this.directions_) this.flush(direction)
   }
 
-  /** Open connections go silent for good, without an end or a reset; new ones work. */
+  /**
+   * Silences the open connections permanently, without an end or a reset. New ones work.
+   */
   silence(): void {
-    for (const way of this.ways_) {
-      way.silent = true
-      way.held.length = 0
-      way.from.resume()
+    for (const direction of this.directions_) {
+      direction.silent = true
+      direction.buffered.length = 0
+      direction.from.resume()
     }
   }
 
-  /** Closes every open connection but the silent ones. No resets: node 20 may spin at its exit after one. */
+  /**
+   * Closes all open connections except silent ones. Doesn't reset them, as Node.js 20 may
+   * spin at exit after a reset.
+   */
   cut(): void {
-    for (const {from, silent} of [...this.ways_]) if (!silent) from.destroy()
+    for (const {from, silent} of [...this.directions_]) if (!silent) from.destroy()
   }
 
-  /** The server behind it is down: new connections are refused, as its own address would. */
+  /**
+   * Simulates a stopped server: closes the connections and stops listening, so that new
+   * ones are refused.
+   */
   down(): Promise<void> {
     this.cut()
     return new Promise(resolve => this.server_.close(() => resolve()))
   }
 
-  /** The server behind it listens again. */
+  /** Listens again after `down`. */
   up(): Promise<void> {
     return new Promise(resolve =>
       this.server_.listen(this.port, "127.0.0.1", () => resolve())
@@ -82,43 +92,43 @@
 
   close(): void {
     this.server_.close()
-    for (const {from} of [...this.ways_]) from.destroy()
+    for (const {from} of [...this.directions_]) from.destroy()
   }
 
-  private join(near: Socket, target: number): void {
-    if (this.faults_.refuse) return void near.destroy()
-    const far = connect({port: target, host: "127.0.0.1", noDelay: true})
-    this.pass({
-      from: near,
-      to: far,
-      held: [],
+  private accept(client: Socket, target: number): void {
+    if (this.faults_.refuse) return void client.destroy()
+    const upstream = connect({port: target, host: "127.0.0.1", noDelay: true})
+    this.forward({
+      from: client,
+      to: upstream,
+      buffered: [],
       isBlocked: () => this.faults_.blockUp === true,
       silent: false
     })
-    this.pass({
-      from: far,
-      to: near,
-      held: [],
+    this.forward({
+      from: upstream,
+      to: client,
+      buffered: [],
       isBlocked: () => this.faults_.blockDown === true,
       silent: false
     })
   }
 
-  private pass(way: Way): void {
-    const {from, to, held, isBlocked} = way
-    this.ways_.add(way)
+  private forward(direction: Direction): void {
+    const {from, to, buffered, isBlocked} = direction
+    this.directions_.add(direction)
     from.on("data", chunk => {
-      if (way.silent) return
+      if (direction.silent) return
       if (!isBlocked()) return this.write(to, chunk)
-      held.push(chunk)
+      buffered.push(chunk)
       from.pause()
     })
-    const ends = (): boolean => !isBlocked() && !way.silent
-    from.on("end", () => ends() && to.end())
-    from.on("error", () => !way.silent && to.destroy())
+    const shouldEnd = (): boolean => !isBlocked() && !direction.silent
+    from.on("end", () => shouldEnd() && to.end())
+    from.on("error", () => !direction.silent && to.destroy())
     from.on("close", () => {
-      this.ways_.delete(way)
-      if (ends()) to.destroy()
+      this.directions_.delete(direction)
+      if (shouldEnd()) to.destroy()
     })
   }
 
@@ -128,9 +138,9 @@
     else if (to.writable) to.write(chunk)
   }
 
-  private release({from, to, held, isBlocked, silent}: Way): void {
+  private flush({from, to, buffered, isBlocked, silent}: Direction): void {
     if (isBlocked() || silent) return
-    for (const chunk of held.splice(0)) this.write(to, chunk)
+    for (const chunk of buffered.splice(0)) this.write(to, chunk)
     if (from.destroyed) to.destroy()
     else from.resume()
   }
--- a/test/support/pages.ts
+++ b/test/support/pages.ts
@@ -1,12 +1,13 @@
-/** Pages made from the code. `node dist/test/support/write-pages.js` writes them. */
+/** Documentation pages generated from the code. `write-pages.ts` writes them. */
 import {z} from "zod"
 import {ERRORS} from "../../src/errors.js"
 import {EVENTS} from "../../src/events.js"
 import {settingsSchema} from "../../src/types/settings.js"
 
-const NOTE = "<!-- Made from the code by `npm run pages`; a test compares it. -->"
+const GENERATED_NOTICE =
+  "<!-- Made from the code by `npm run pages`; a test compares it. -->"
 
-/** docs/EVENTS.md. */
+/** Returns the text of docs/EVENTS.md. */
 export function renderEventsPage(): string {
   const rows = Object.entries(EVENTS)
     .sort(([, a], [, b]) => a.number - b.number)
@@ -23,7 +24,7 @@
   ])
 }
 
-/** docs/protocols/errors.md. */
+/** Returns the text of docs/protocols/errors.md. */
 export function renderErrorsPage(): string {
   const rows = Object.entries(ERRORS).map(
     ([code, {number, status, outcome, title}]) =>
@@ -49,7 +50,7 @@
   readonly enum?: readonly unknown[]
 }
 
-/** docs/operators/settings.md. */
+/** Returns the text of docs/operators/settings.md. */
 export function renderSettingsPage(): string {
   const schema = z.toJSONSchema(settingsSchema, {io: "input"}) as JsonSchema
   return page("Settings", [
@@ -63,23 +64,23 @@
 }
 
 function settingRows(
-  place: string,
+  parentPath: string,
   {properties = {}, required = []}: JsonSchema
 ): string[] {
   return Object.entries(properties).flatMap(([name, property]) => {
-    const path = `${place}/${name}`
+    const path = `${parentPath}/${name}`
     if (property.properties) return settingRows(path, property)
     const type = property.enum ? property.enum.join(", ") : (property.type ?? "")
-    const fallback =
+    const defaultText =
       property.default === undefined
         ? required.includes(name)
           ? "needed"
           : "none"
         : JSON.stringify(property.default)
-    return [`| \`${path}\` | ${type} | ${fallback} | ${property.description ?? ""} |`]
+    return [`| \`${path}\` | ${type} | ${defaultText} | ${property.description ?? ""} |`]
   })
 }
 
 function page(title: string, lines: readonly string[]): string {
-  return [`# ${title}`, "", NOTE, "", ...lines, ""].join("\n")
+  return [`# ${title}`, "", GENERATED_NOTICE, "", ...lines, ""].join("\n")
 }
--- a/test/support/platform-bed.ts
+++ b/test/support/platform-bed.ts
@@ -1,4 +1,7 @@
-/** A deployment on the stand-in of the users' platform: real boxes as processes, callers in here. */
+/**
+ * A test deployment on the stand-in of the users' platform. Boxes are real processes;
+ * callers run in the test's process.
+ */
 import {mkdtempSync, writeFileSync} from "node:fs"
 import {tmpdir} from "node:os"
 import {dirname, join} from "node:path"
@@ -14,22 +17,22 @@
 export const MODEL = "base"
 const HOST = "callers.example"
 
-/** A key that was taken away is used no later than this, milliseconds. */
+/** Time within which every box must reject a revoked key. */
 export const KEY_MS = 5_000
 
-/** Of the boxes' output, told where a bed does not start. */
-const LOGGED_CHARACTERS = 6_000
+/** Characters at the end of the boxes' output that a failed start reports. */
+const MAX_REPORTED_CHARACTERS = 6_000
 
-/** One engine in so many keeps what waits, where some do. */
-const KEEPER_EACH = 3
+/** With `keepers`, every n-th engine runs queued requests whose connection has closed. */
+const KEEPER_INTERVAL = 3
 
-/** What a caller got. */
+/** The response as the caller received it. */
 export interface Outcome {
   readonly id: string
   readonly status: number
   readonly headers: Readonly<Record<string, string>>
   readonly body: string
-  /** The connection broke before the end. */
+  /** The connection broke before the response was complete. */
   readonly broken: boolean
 }
 
@@ -38,18 +41,21 @@
   readonly settingsFile: string
   readonly callers: string
   readonly ready: string
-  /** Between the box and the store. */
+  /** Proxy between the box and the store. Undefined unless the bed is `proxied`. */
   readonly storeProxy: FaultProxy | undefined
-  /** What its clocks are told: how long its machine was suspended, and by how much its time of day was set. */
+  /**
+   * File that the box's clocks read: how long its machine was suspended, and by how much
+   * its time of day was set forward.
+   */
   readonly clocksFile: string
   suspendedMs: number
-  /** Undefined: it is not suspended now. */
+  /** Start of the current suspension. Undefined if the machine is not suspended. */
   suspendedFrom: number | undefined
   steppedMs: number
   child: Child
 }
 
-/** Who holds keys, as operators write it. */
+/** An organisation with API keys, as operators configure it. */
 export interface BedTenant {
   readonly name: string
   readonly apiKeys: readonly string[]
@@ -61,11 +67,11 @@
 }
 
 export interface BedOptions {
-  /** Undefined: nobody needs a key. */
+  /** Undefined if requests need no key. */
   readonly tenants?: readonly BedTenant[]
-  /** What the processors of boxes can do, in cores; undefined: they do not tell. */
+  /** Processor capacity of each box (cores). Undefined if the settings don't name it. */
   readonly processors?: readonly number[]
-  /** Window of tenants' limits, seconds. */
+  /** Window of the organisations' usage limits. */
   readonly usageWindowS?: number
   readonly boxes?: number
   readonly engines?: number
@@ -73,19 +79,19 @@
   readonly engine?: Partial<WorkerOptions>
   readonly plainWorker?: Partial<WorkerOptions>
   readonly leaseTtlMs?: number
-  /** Boxes reach the store, and workers are reached, through proxies that can fail. */
+  /** Connections to the store and to workers pass through fault proxies. */
   readonly proxied?: boolean
-  /** Boxes run the bundled program, as the platform does, and not the single files. */
+  /** Boxes run the bundled program, as on the platform, instead of the separate files. */
   readonly bundled?: boolean
-  /** The machines of boxes can be suspended; not with `bundled`. */
+  /** The machines of boxes can be suspended. `bundled` is ignored then. */
   readonly suspendable?: boolean
-  /** Connections that all boxes may have to a plain worker. */
+  /** Limit of connections to a plain worker, over all boxes. */
   readonly plainConnections?: number
-  /** Every third engine runs what waits in its queue though the connection has closed. */
+  /** Every third engine runs queued requests even if their connection has closed. */
   readonly keepers?: boolean
 }
 
-let requests = 0
+let requestCount = 0
 
 export class PlatformBed {
   readonly judge = new Judge()
@@ -95,12 +101,12 @@
   readonly versions = new Map<string, number>()
   readonly workerProxies: FaultProxy[] = []
   private readonly agent_ = new Agent({connections: 64, pipelining: 1})
-  /** Who holds keys in the next configuration. */
+  /** Organisations with keys in the next configuration. */
   tenants: readonly BedTenant[] | undefined
   private version_ = 1
-  private added_ = 0
-  /** What processes wrote whose boxes were started again. */
-  private readonly past_: string[] = []
+  private addedEngines_ = 0
+  /** Output of the ended processes of restarted boxes. */
+  private readonly earlierOutput_: string[] = []
 
   private constructor(
     readonly store: StandInStore,
@@ -119,10 +125,11 @@
       await bed.ready()
       return bed
     } catch (cause) {
-      // No test holds a bed that did not start: what runs of it would keep the process from ending.
-      const logs = bed.logs().slice(-LOGGED_CHARACTERS)
+      // The test has no reference to a bed that failed to start, so stop it here: its
+      // open handles would keep the test process from ending.
+      const logs = bed.logs().slice(-MAX_REPORTED_CHARACTERS)
       await bed.stop()
-      throw new Error(`${(cause as Error).message}; the boxes wrote:\n${logs}`)
+      throw new Error(`${(cause as Error).message}; output of the boxes:\n${logs}`)
     }
   }
 
@@ -134,7 +141,8 @@
         service: "engines",
         dataCentre: `dc-${index % 2}`,
         model: MODEL,
-        keepsClosed: this.options_.keepers === true && ++this.added_ % KEEPER_EACH === 0,
+        keepsClosed:
+          this.options_.keepers === true && ++this.addedEngines_ % KEEPER_INTERVAL === 0,
         ...this.options_.engine
       },
       this.versions
@@ -189,7 +197,7 @@
         leaseTtlMs: this.options_.leaseTtlMs ?? 1200
       },
       orders: {checksFences: true, leaseMs: 3000},
-      ...this.processorOf(index),
+      ...this.processorSettings(index),
       keys: {takenAwayMs: KEY_MS},
       usage: {windowS: this.options_.usageWindowS ?? 8, overage: 0.1, slack: 0},
       graceS: 8,
@@ -217,7 +225,7 @@
     return box
   }
 
-  private processorOf(index: number): object {
+  private processorSettings(index: number): object {
     const share = this.options_.processors?.[index]
     return share === undefined ? {} : {processor: {share, cores: 1}}
   }
@@ -235,7 +243,9 @@
     return new Child(program, args)
   }
 
-  /** Suspends the machine of a box: its steady clock does not count the time, the time of day does. */
+  /**
+   * Suspends the machine of a box. Its monotonic clock stops; its time of day goes on.
+   */
   async suspend(box: BedBox, ms: number): Promise<void> {
     box.suspendedFrom = performance.now()
     box.child.signal("SIGSTOP")
@@ -252,23 +262,23 @@
     box.child.signal("SIGCONT")
   }
 
-  /** Sets the time of day of a box's machine forward. */
+  /** Sets the time of day of a box's machine forward by `ms`. */
   stepTime(box: BedBox, ms: number): void {
     box.steppedMs += ms
     setClocks(box)
   }
 
-  /** Starts the process of a box that ended again. */
+  /** Restarts a box whose process has ended. */
   restartBox(box: BedBox): void {
-    this.past_.push(box.child.output)
+    this.earlierOutput_.push(box.child.output)
     box.child = this.startBox(box)
   }
 
-  /** Waits until all boxes take requests and one leads. */
+  /** Waits until all boxes accept requests and one of them is the leader. */
   async ready(): Promise<void> {
     for (const box of this.boxes) {
       await until(`${box.name} is ready`, () => {
-        if (box.child.ended) throw new Error(`${box.name} ended, not ready`)
+        if (box.child.ended) throw new Error(`${box.name} ended before it was ready`)
         return this.isReady(box)
       })
     }
@@ -285,15 +295,15 @@
     }
   }
 
-  /** The box whose name the leader's key holds. */
+  /** Returns the box that the leader's key in the store names. */
   leader(): BedBox | undefined {
     const text = this.store.read("sedge/leader")
     const name = text === undefined ? "" : (JSON.parse(text) as {box: string}).box
     return this.boxes.find(box => box.name === name)
   }
 
-  /** Accepts a configuration; `more` routes are added to the usual ones. */
-  configure(more: readonly object[] = []): number {
+  /** Writes the next configuration, with `extraRoutes` added to the usual routes. */
+  configure(extraRoutes: readonly object[] = []): number {
     const version = this.version_++
     const common = {host: HOST, timeoutMs: 4_000, priority: 1}
     this.store.write("op/config", {
@@ -339,7 +349,7 @@
           maxAttempts: 1,
           targetLatencyMs: 200
         },
-        ...more.map(route => ({...common, ...route}))
+        ...extraRoutes.map(route => ({...common, ...route}))
       ],
       services: [
         {
@@ -366,13 +376,13 @@
     return version
   }
 
-  /** Names a new version of an adapter. */
+  /** Publishes a new version of an adapter. */
   bump(adapter: string, version: number): void {
     this.versions.set(adapter, version)
     this.store.write(`op/version/${MODEL}.${adapter}`, {model: MODEL, adapter, version})
   }
 
-  /** Sends one request to a box. */
+  /** Sends one request to a box and returns its outcome; never rejects. */
   async call(
     box: BedBox,
     path: string,
@@ -380,20 +390,20 @@
       readonly adapter?: string
       readonly body?: string
       readonly id?: string
-      /** How long the caller waits, milliseconds. */
+      /** Time that the caller allows for the request. */
       readonly deadlineMs?: number
-      /** More than one: the header stands as often. */
+      /** An array sends the header once for each key. */
       readonly key?: string | string[]
       readonly headers?: Readonly<Record<string, string>>
-      /** Tokens in and out. */
+      /** Prompt and output tokens, comma-separated. */
       readonly usage?: string
     } = {}
   ): Promise<Outcome> {
-    const id = options.id ?? `r-${++requests}`
+    const id = options.id ?? `r-${++requestCount}`
     const model =
       options.adapter === undefined ? {} : {"x-model-id": `${MODEL}/${options.adapter}`}
     try {
-      const answer = await request(`http://${box.callers}${path}`, {
+      const response = await request(`http://${box.callers}${path}`, {
         dispatcher: this.agent_,
         method: path.startsWith("/safe") ? "GET" : "POST",
         headers: {
@@ -407,21 +417,21 @@
         },
         ...(options.body === undefined ? {} : {body: options.body})
       })
-      const headers = answer.headers as Record<string, string>
+      const headers = response.headers as Record<string, string>
       try {
-        const body = await answer.body.text()
-        return {id, status: answer.statusCode, headers, body, broken: false}
+        const body = await response.body.text()
+        return {id, status: response.statusCode, headers, body, broken: false}
       } catch {
-        return {id, status: answer.statusCode, headers, body: "", broken: true}
+        return {id, status: response.statusCode, headers, body: "", broken: true}
       }
     } catch {
       return {id, status: 0, headers: {}, body: "", broken: true}
     }
   }
 
-  /** What all boxes wrote. */
+  /** Returns the output of all boxes, ended processes included. */
   logs(): string {
-    return [...this.past_, ...this.boxes.map(({child}) => child.output)].join("")
+    return [...this.earlierOutput_, ...this.boxes.map(({child}) => child.output)].join("")
   }
 
   async stop(): Promise<void> {
@@ -434,7 +444,10 @@
   }
 }
 
-/** In one write of fixed length: the box reads the file at each look at a clock. */
+/**
+ * Writes the clocks file in one write of fixed length, as the box may read it at any
+ * moment (at each read of a clock).
+ */
 function setClocks({clocksFile, suspendedMs, steppedMs}: BedBox): void {
   const line = `${suspendedMs.toFixed(3)} ${steppedMs.toFixed(3)}`.padEnd(40)
   writeFileSync(clocksFile, line, {flag: "r+"})
--- a/test/support/soak-judge-incidents.ts
+++ b/test/support/soak-judge-incidents.ts
@@ -1,14 +1,17 @@
-/** What must hold of requests that crash servers, and of what servers say of themselves, in a round of the soak. */
+/**
+ * Checks a soak round for the handling of requests that crash servers, and of notices and
+ * rate limits that servers send.
+ */
 import type {Judge} from "../stand-ins/platform-judge.js"
 import {judgeCrashes} from "./judge-crashes.js"
 import {judgeNotices, type NoticedCall} from "./judge-notices.js"
 import {judgeRates} from "./judge-rates.js"
 import type {CrashingCall, SoakRecord} from "./soak-record.js"
 
-/** A box is in touch once nothing has struck it or the store for so long, milliseconds. */
-const CONTACT_MS = 3_000
+/** A box counts as connected after this time without a fault of the box or the store. */
+const CONNECTED_MS = 3_000
 
-/** Faults in which answers of servers do not come through, or late: what they say is not known then. */
+/** Faults that lose or delay responses of servers, and so the notices in them. */
 const LINK_FAULTS: ReadonlySet<string> = new Set([
   "silence-worker",
   "reset-workers",
@@ -16,50 +19,51 @@
   "silent-links"
 ])
 
-/** Answers may wait in a link for so long, milliseconds. */
-const LINK_FAULT_MS = 2_500
+/** Longest time that a link fault delays a response. */
+const LINK_FAULT_DELAY_MS = 2_500
 
-/** Returns what did not hold. */
+/** Returns the violations found in a round. */
 export function judgeIncidents(judge: Judge, record: SoakRecord): string[] {
   const calls = new Map<string, NoticedCall>()
   for (const {box, sentAt, outcome} of [...record.calls, ...record.crashing]) {
     calls.set(outcome.id, {box, sentAt})
   }
-  const isInTouch = (id: string, at: number): boolean => {
+  const isConnected = (id: string, at: number): boolean => {
     const box = calls.get(id)?.box
-    const struck = record.excuses.some(
-      each => each.box === box && each.at <= at && at - each.at < CONTACT_MS
+    const hadFault = record.excuses.some(
+      exemption =>
+        exemption.box === box && exemption.at <= at && at - exemption.at < CONNECTED_MS
     )
-    const wellSince = record.trouble.wellSince(at) ?? Infinity
-    return !struck && at - wellSince >= CONTACT_MS
+    const healthySince = record.trouble.wellSince(at) ?? Infinity
+    return !hadFault && at - healthySince >= CONNECTED_MS
   }
-  const excuses = [...record.excuses, ...linkExcuses(record)]
+  const exemptions = [...record.excuses, ...linkFaultExemptions(record)]
   return [
-    ...judgeCrashes(judge, ({id, at}) => isInTouch(id, at)),
-    ...judgeNotices(judge, {calls, exemptions: excuses, restarts: judge.reborn}),
+    ...judgeCrashes(judge, ({id, at}) => isConnected(id, at)),
+    ...judgeNotices(judge, {calls, exemptions, restarts: judge.reborn}),
     ...judgeRates(judge, {calls, exemptions: record.excuses, restarts: judge.reborn}),
-    ...record.crashing.flatMap(call => judgeCrashing(judge, call))
+    ...record.crashing.flatMap(call => judgeCrashingCall(judge, call))
   ]
 }
 
-function linkExcuses(record: SoakRecord): {box: string; at: number}[] {
+function linkFaultExemptions(record: SoakRecord): {box: string; at: number}[] {
   const boxes = new Set(record.calls.map(({box}) => box))
   return record.faults
     .filter(({name}) => LINK_FAULTS.has(name))
     .flatMap(({at}) =>
       [...boxes].flatMap(box => [
         {box, at},
-        {box, at: at + LINK_FAULT_MS}
+        {box, at: at + LINK_FAULT_DELAY_MS}
       ])
     )
 }
 
-function judgeCrashing(judge: Judge, {path, outcome}: CrashingCall): string[] {
+function judgeCrashingCall(judge: Judge, {path, outcome}: CrashingCall): string[] {
   const {id, status} = outcome
   const runs = judge.runsOf(id).length
-  const found: string[] = []
+  const violations: string[] = []
   if (status === 503 && runs > 0)
-    found.push(`${id} (${path}): refused as not run, and ran`)
-  if (path !== "/stream/x" && runs > 1) found.push(`${id} (${path}): ran twice`)
-  return found
+    violations.push(`${id} (${path}): refused as not run, and ran`)
+  if (path !== "/stream/x" && runs > 1) violations.push(`${id} (${path}): ran twice`)
+  return violations
 }
--- a/test/support/soak-judge-organisations.ts
+++ b/test/support/soak-judge-organisations.ts
@@ -1,4 +1,4 @@
-/** What must hold of keys and limits in a round of the soak. */
+/** Checks API keys and usage limits in a soak round. */
 import type {Judge, Run} from "../stand-ins/platform-judge.js"
 import {KEY_MS} from "./platform-bed.js"
 import {
@@ -8,22 +8,28 @@
 } from "./soak-organisations.js"
 import type {SoakCall, SoakRecord} from "./soak-record.js"
 
-/** A box may read its first configuration with keys so late, milliseconds; calls before need none. */
-const OPENED_MS = 3_000
+/**
+ * Time in which boxes read the first configuration with keys; until then calls need none.
+ */
+const FIRST_CONFIGURATION_MS = 3_000
 
-/** A lowered limit binds so long after it was acknowledged at the latest, whatever fails meanwhile, milliseconds. */
-const LOWERED_MS = 12_000
+/**
+ * Time from acknowledgement within which a lowered limit is enforced, under any faults.
+ */
+const LOWERED_LIMIT_MS = 12_000
 
 const WINDOW_MS = USAGE_WINDOW_S * 1000
 
-/** Returns what did not hold. */
+/** Returns the violations found in a round. */
 export function judgeOrganisations(
   judge: Judge,
   record: SoakRecord,
   organisations: SoakOrganisations
 ): string[] {
-  const openedAt = organisations.limits[0]?.at ?? 0
-  const calls = record.calls.filter(({sentAt}) => sentAt > openedAt + OPENED_MS)
+  const configuredAt = organisations.limits[0]?.at ?? 0
+  const calls = record.calls.filter(
+    ({sentAt}) => sentAt > configuredAt + FIRST_CONFIGURATION_MS
+  )
   return [
     ...calls.flatMap(call => judgeKey(judge, call, organisations)),
     ...judgeLimits(judge.runs, organisations.limits)
@@ -43,19 +49,19 @@
   if (owner === undefined) return [`${id} ran with ${key ?? "no key"}`]
   const other = runs.find(({tenant}) => tenant !== owner)
   if (other) return [`${id} of ${owner} ran for ${other.tenant ?? "nobody"}`]
-  const takenAt = organisations.takenAt(key)
-  if (takenAt === undefined || sentAt <= takenAt + KEY_MS) return []
+  const revokedAt = organisations.takenAt(key)
+  if (revokedAt === undefined || sentAt <= revokedAt + KEY_MS) return []
   return [
-    `${id} ran, sent ${Math.round(sentAt - takenAt)} ms after its key was taken away`
+    `${id} ran, sent ${Math.round(sentAt - revokedAt)} ms after its key was taken away`
   ]
 }
 
 function judgeLimits(runs: readonly Run[], limits: readonly SetLimit[]): string[] {
   const names = [...new Set(limits.map(({organisation}) => organisation))]
   return names.flatMap(name => {
-    const own = runs.filter(({tenant}) => tenant === name)
-    const set = limits.filter(({organisation}) => organisation === name)
-    const sorted = own.sort((a, b) => a.reached - b.reached)
+    const ownRuns = runs.filter(({tenant}) => tenant === name)
+    const ownLimits = limits.filter(({organisation}) => organisation === name)
+    const sorted = ownRuns.sort((a, b) => a.reached - b.reached)
     let first = 0
     let sum = 0
     for (const run of sorted) {
@@ -63,7 +69,7 @@
       while ((sorted[first]?.reached ?? Infinity) <= run.reached - WINDOW_MS) {
         sum -= sorted[first++]?.tokens ?? 0
       }
-      const limit = limitAt(set, run.reached)
+      const limit = limitAt(ownLimits, run.reached)
       if (sum > limit) {
         const at = new Date(performance.timeOrigin + run.reached).toISOString()
         return [`${name} used ${sum} of ${limit} in ${WINDOW_MS} ms, at ${at}`]
@@ -73,10 +79,12 @@
   })
 }
 
-/** The highest limit that may have been in force in the window that ends then. */
-function limitAt(set: readonly SetLimit[], at: number): number {
-  const from = at - WINDOW_MS - LOWERED_MS
-  const before = set.filter(each => each.at <= from).at(-1)
-  const since = set.filter(each => each.at > from && each.at <= at)
-  return Math.max(...[before, ...since].map(each => each?.tokens ?? 0))
+/**
+ * Returns the highest limit that may have been in force in the window that ends at `at`.
+ */
+function limitAt(limits: readonly SetLimit[], at: number): number {
+  const from = at - WINDOW_MS - LOWERED_LIMIT_MS
+  const before = limits.filter(limit => limit.at <= from).at(-1)
+  const since = limits.filter(limit => limit.at > from && limit.at <= at)
+  return Math.max(...[before, ...since].map(limit => limit?.tokens ?? 0))
 }
--- a/test/support/soak-judge-service.ts
+++ b/test/support/soak-judge-service.ts
@@ -1,29 +1,31 @@
 /**
- * A promise of service, as callers see it: a request that may be sent again is answered by a box that nothing has
- * struck for a while, as long as nothing touches the plain servers. Trouble of the store excuses no box that knows
- * its servers. Not for rounds with organisations, whose keys and limits are reasons of their own.
+ * Checks availability as callers see it: a box without a recent fault serves each request
+ * that may be retried, as long as no fault affects the plain servers. Store faults don't
+ * exempt a box that has its list of servers. Not for rounds with organisations, where
+ * keys and limits are further reasons for a refusal.
  */
 import type {SoakCall, SoakRecord} from "./soak-record.js"
 
-/** A box that was restarted, stood still or was cut off serves again after this, milliseconds. */
-const BOX_MS = 3_000
+/** Time in which a box serves again after a restart, a suspension or a disconnection. */
+const BOX_RECOVERY_MS = 3_000
 
-/**
- * A box that starts so soon after a rise, or shortly before one, may read a copy's entries; it is sure of its servers
- * so much later, milliseconds.
- */
-const RISE_MS = 10_000
-const START_MS = 3_000
-const DOUBT_MS = 8_000
+/** A box that starts within this time after a restore may read restored entries. */
+const RESTORED_ENTRIES_MS = 10_000
+
+/** A box that starts within this time before a restore may read restored entries, too. */
+const STARTUP_MS = 3_000
 
-/** Before a broken call, the faults of this time are told, milliseconds. */
-const TOLD_MS = 10_000
+/** Time that a box needs to confirm its servers if it has read restored entries. */
+const CONFIRMATION_MS = 8_000
 
-/** What touches plain servers or the ways to them does for so long, milliseconds. */
-const SERVER_MS = 6_000
+/** Findings list the faults of this time before the call. */
+const REPORTED_FAULTS_MS = 10_000
 
-/** Callers wait for an answer no longer, milliseconds. */
-const ANSWER_MS = 4_000
+/** Longest effect of a fault of plain servers or of the links to them. */
+const SERVER_FAULT_MS = 6_000
+
+/** Timeout of callers. */
+const CALLER_TIMEOUT_MS = 4_000
 
 const SERVER_FAULTS: ReadonlySet<string> = new Set([
   "shed",
@@ -42,65 +44,70 @@
   "plain-names-rate"
 ])
 
-/** Of findings that are alike, those that are told. */
-const MOST_LINES = 3
+/** Limit of reported findings, as they are alike. */
+const MAX_FINDINGS = 3
 
-/** Returns what did not hold. */
+/** Returns the violations found in a round. */
 export function judgeService(record: SoakRecord): string[] {
-  const broken = record.calls.filter(
-    call => call.outcome.status !== 200 && isPromised(record, call)
+  const unserved = record.calls.filter(
+    call => call.outcome.status !== 200 && mustBeServed(record, call)
   )
-  return broken
-    .slice(0, MOST_LINES)
+  return unserved
+    .slice(0, MAX_FINDINGS)
     .map(
       ({outcome, box, sentAt}) =>
         `${outcome.id} (safe, ${outcome.status}) was not served by ${box}, which nothing had struck; faults before: ` +
-        record.faultsBetween(sentAt - TOLD_MS, sentAt)
+        record.faultsBetween(sentAt - REPORTED_FAULTS_MS, sentAt)
     )
 }
 
-/** How many calls the promise covers. */
+/** Returns the number of calls that must have been served. */
 export function countPromised(record: SoakRecord): number {
-  return record.calls.filter(call => isPromised(record, call)).length
+  return record.calls.filter(call => mustBeServed(record, call)).length
 }
 
-function isPromised(record: SoakRecord, call: SoakCall): boolean {
-  const {kind, box, sentAt, answeredAt: end = sentAt + ANSWER_MS} = call
+function mustBeServed(record: SoakRecord, call: SoakCall): boolean {
+  const {kind, box, sentAt, answeredAt: end = sentAt + CALLER_TIMEOUT_MS} = call
   if (kind !== "safe") return false
-  if (struckWithin(record, box, sentAt - BOX_MS, end)) return false
-  if (startedInDoubt(record, box, sentAt)) return false
+  if (isExemptWithin(record, box, sentAt - BOX_RECOVERY_MS, end)) return false
+  if (hasUnconfirmedServers(record, box, sentAt)) return false
   return !record.faults.some(
-    ({name, at}) => SERVER_FAULTS.has(name) && at > sentAt - SERVER_MS && at < end
+    ({name, at}) => SERVER_FAULTS.has(name) && at > sentAt - SERVER_FAULT_MS && at < end
   )
 }
 
-function struckWithin(
-  {excuses}: SoakRecord,
+function isExemptWithin(
+  {excuses: exemptions}: SoakRecord,
   box: string,
   from: number,
   to: number
 ): boolean {
-  return excuses.some(each => each.box === box && each.at > from && each.at < to)
+  return exemptions.some(
+    exemption => exemption.box === box && exemption.at > from && exemption.at < to
+  )
 }
 
 /**
- * Whether the box may have started on a copy and not be sure of its servers yet: each rise that comes before it is
- * sure makes it wait anew.
+ * Whether the box may have started with restored entries and not have confirmed its
+ * servers yet. A further restore before the confirmation starts the wait again.
  */
-function startedInDoubt(
-  {excuses, rises}: SoakRecord,
+function hasUnconfirmedServers(
+  {excuses: exemptions, rises: restores}: SoakRecord,
   box: string,
   sentAt: number
 ): boolean {
-  return excuses.some(({box: struck, at}) => {
-    if (struck !== box || at > sentAt) return false
-    let doubtUntil = -Infinity
-    for (const rise of rises) {
-      const isBefore = rise <= at && at - rise < RISE_MS
-      if (isBefore || (rise > at && rise < Math.max(at, doubtUntil) + START_MS)) {
-        doubtUntil = Math.max(at, rise) + DOUBT_MS
+  return exemptions.some(({box: exemptBox, at}) => {
+    if (exemptBox !== box || at > sentAt) return false
+    let unconfirmedUntil = -Infinity
+    for (const restoredAt of restores) {
+      const isBefore = restoredAt <= at && at - restoredAt < RESTORED_ENTRIES_MS
+      if (
+        isBefore ||
+        (restoredAt > at && restoredAt < Math.max(at, unconfirmedUntil) + STARTUP_MS)
+      ) {
+        unconfirmedUntil = Math.max(at, restoredAt) + CONFIRMATION_MS
       }
     }
-    return sentAt < doubtUntil
+    return sentAt < unconfirmedUntil
   })
 }
--- a/test/support/soak-judge.ts
+++ b/test/support/soak-judge.ts
@@ -1,41 +1,45 @@
-/** What must hold in a round of the soak, judged from what callers and workers saw. */
+/**
+ * Checks the invariants of a soak round against the observations of callers and workers.
+ */
 import type {Judge, Run} from "../stand-ins/platform-judge.js"
 import {wholeStream} from "./whole-stream.js"
 import type {LeftEngine, SoakCall, SoakRecord, SoakVersion} from "./soak-record.js"
 
-/** A server that leaves gets no new work after this, while the store is well; with a margin. */
-const DRAIN_MS = 2_500
+/**
+ * A leaving server gets no new work after this time of a healthy store (margin included).
+ */
+const DRAIN_DEADLINE_MS = 2_500
 
-/** A named version is in force after this. */
-const VERSION_MS = 5_000
+/** Time within which boxes must use a published version. */
+const VERSION_DEADLINE_MS = 5_000
 
-/** The store counts as stable again after this time without trouble. */
-const STABLE_MS = 3_000
+/** The store counts as stable after this time without a fault. */
+const STORE_STABLE_MS = 3_000
 
-/** Returns what did not hold. */
+/** Returns the violations found in a round. */
 export function judgeRound(judge: Judge, record: SoakRecord): string[] {
   return [
     ...record.calls.flatMap(call => judgeCall(judge.runsOf(call.outcome.id), call)),
     ...record.gone.flatMap(worker => judgeLeaving(judge, record, worker)),
-    ...record.versions.flatMap(named => judgeVersion(judge, record, named)),
+    ...record.versions.flatMap(published => judgeVersion(judge, record, published)),
     ...judge.violations
   ]
 }
 
 function judgeCall(runs: readonly Run[], {kind, outcome}: SoakCall): string[] {
   const {id, status, body, broken} = outcome
-  const found: string[] = []
-  const bad = (what: string): void => {
-    found.push(`${id} (${kind}, ${status}): ${what}`)
+  const violations: string[] = []
+  const addViolation = (text: string): void => {
+    violations.push(`${id} (${kind}, ${status}): ${text}`)
   }
-  if ((kind === "once" || kind === "unsafe") && runs.length > 1) bad("ran twice")
-  if (status === 503 && runs.length > 0) bad("refused as not run, and ran")
-  if (status !== 200 || broken) return found
-  if (kind === "safe" && body !== `plain:${id}:`) bad(`wrong answer ${body}`)
-  if (kind === "unsafe" && body !== `plain:${id}:{}`) bad(`wrong answer ${body}`)
-  if (kind !== "stream" && kind !== "once") return found
-  if (body !== wholeStream(id)) bad("a stream that looks whole and is not")
-  return found
+  if ((kind === "once" || kind === "unsafe") && runs.length > 1) addViolation("ran twice")
+  if (status === 503 && runs.length > 0) addViolation("refused as not run, and ran")
+  if (status !== 200 || broken) return violations
+  if (kind === "safe" && body !== `plain:${id}:`) addViolation(`wrong answer ${body}`)
+  if (kind === "unsafe" && body !== `plain:${id}:{}`) addViolation(`wrong answer ${body}`)
+  if (kind !== "stream" && kind !== "once") return violations
+  if (body !== wholeStream(id)) addViolation("a stream that looks whole and is not")
+  return violations
 }
 
 function judgeLeaving(judge: Judge, record: SoakRecord, worker: LeftEngine): string[] {
@@ -52,29 +56,39 @@
   ]
 }
 
-/** What counts is when a request reaches the server, not how long it waits there. */
-function isLate({trouble}: SoakRecord, reached: number, drainedAt: number): boolean {
-  return trouble.longestWell(drainedAt, reached) > DRAIN_MS
+/**
+ * Judges when a request reached the server, as it may have waited there before it ran.
+ */
+function isLate(
+  {trouble: storeFaults}: SoakRecord,
+  reached: number,
+  drainedAt: number
+): boolean {
+  return storeFaults.longestWell(drainedAt, reached) > DRAIN_DEADLINE_MS
 }
 
-/** Every version that was named is judged for itself: a newer one does not put off its time. */
-function judgeVersion(judge: Judge, record: SoakRecord, named: SoakVersion): string[] {
-  const late = judge.runs.filter(run => isOutdated(record, run, named))
+/** Judges each published version separately: a newer one doesn't extend its deadline. */
+function judgeVersion(
+  judge: Judge,
+  record: SoakRecord,
+  published: SoakVersion
+): string[] {
+  const late = judge.runs.filter(run => isOutdated(record, run, published))
   const [first] = late
-  return first ? [tellOutdated(record, first, named, late.length)] : []
+  return first ? [describeOutdatedRun(record, first, published, late.length)] : []
 }
 
-function isOutdated(record: SoakRecord, run: Run, named: SoakVersion): boolean {
-  const {adapter, version, at} = named
+function isOutdated(record: SoakRecord, run: Run, published: SoakVersion): boolean {
+  const {adapter, version, at} = published
   if (run.adapter !== adapter || run.version >= version || run.at < at) return false
   const since = record.trouble.wellSince(run.at)
   if (since === undefined) return false
-  // Trouble of the store after the naming: the time counts anew from its being stable again.
-  const from = since > at ? since + STABLE_MS : at
-  return run.at > from + VERSION_MS
+  // After a store fault since the publication, the deadline counts from stability on.
+  const from = since > at ? since + STORE_STABLE_MS : at
+  return run.at > from + VERSION_DEADLINE_MS
 }
 
-function tellOutdated(
+function describeOutdatedRun(
   record: SoakRecord,
   run: Run,
   {adapter, version, at}: SoakVersion,
--- a/test/support/soak-record.ts
+++ b/test/support/soak-record.ts
@@ -1,31 +1,34 @@
-/** What a round of the soak did and when, for its judge; times by `performance.now()`. */
+/** Record of a soak round for its judge. Times are those of `performance.now()`. */
 import {createRandom, uniformFloat64} from "../../src/utils/random.js"
 import type {StandInWorker} from "../stand-ins/platform-worker.js"
 import type {Outcome} from "./platform-bed.js"
 
 export interface SoakCall {
   readonly kind: "stream" | "once" | "safe" | "unsafe"
-  /** The box that was asked. */
+  /** The box that received the request. */
   readonly box: string
   readonly outcome: Outcome
-  /** Undefined: it had none. */
+  /** Undefined if the request had no key. */
   readonly key?: string | undefined
   readonly sentAt: number
-  /** Undefined: not noted. */
+  /** Undefined if not recorded. */
   readonly answeredAt?: number
 }
 
-/** A version that was named, and when the store acknowledged it. */
+/** A published adapter version, and when the store acknowledged it. */
 export interface SoakVersion {
   readonly adapter: string
   readonly version: number
   readonly at: number
 }
 
-/** An engine that was replaced, and when it said that it leaves; undefined: it crashed. */
+/**
+ * An engine that was replaced, and when it announced that it leaves. `drainedAt` is
+ * undefined if it crashed.
+ */
 export type LeftEngine = Pick<StandInWorker, "id" | "drainedAt">
 
-/** The numbers that a seed gives. */
+/** Random choices drawn from a seed. */
 export class SoakDraws {
   private random_
 
@@ -33,7 +36,7 @@
     this.random_ = createRandom(seed)
   }
 
-  /** The numbers of another seed from here on. */
+  /** Draws from another seed from now on. */
   restart(seed: number): void {
     this.random_ = createRandom(seed)
   }
@@ -49,12 +52,12 @@
   }
 }
 
-/** The times at which the store was unwell. */
+/** Periods in which the store had a fault. */
 export class StoreTrouble {
-  private readonly stretches_: {readonly from: number; to: number}[] = []
+  private readonly periods_: {readonly from: number; to: number}[] = []
 
   add(from: number, to: number): void {
-    this.stretches_.push({from, to})
+    this.periods_.push({from, to})
   }
 
   begin(): void {
@@ -63,29 +66,32 @@
 
   end(): void {
     const now = performance.now()
-    for (const each of this.stretches_) each.to = Math.min(each.to, now)
+    for (const period of this.periods_) period.to = Math.min(period.to, now)
   }
 
-  /** The longest time without trouble between two times, milliseconds. */
+  /** Returns the longest time without a store fault between two times. */
   longestWell(from: number, to: number): number {
     let longest = 0
-    let well = from
-    for (const each of [...this.stretches_].sort((a, b) => a.from - b.from)) {
-      longest = Math.max(longest, Math.min(each.from, to) - well)
-      well = Math.max(well, each.to)
+    let healthyFrom = from
+    for (const period of [...this.periods_].sort((a, b) => a.from - b.from)) {
+      longest = Math.max(longest, Math.min(period.from, to) - healthyFrom)
+      healthyFrom = Math.max(healthyFrom, period.to)
     }
-    return Math.max(longest, to - well)
+    return Math.max(longest, to - healthyFrom)
   }
 
-  /** Since when the store had been well at a time; undefined: it was not. */
+  /**
+   * Returns since when the store had been healthy at a time. Undefined if it had a fault
+   * at that time.
+   */
   wellSince(at: number): number | undefined {
-    const before = this.stretches_.filter(({from}) => from <= at)
+    const before = this.periods_.filter(({from}) => from <= at)
     const since = Math.max(-Infinity, ...before.map(({to}) => to))
     return since > at ? undefined : since
   }
 }
 
-/** A request that crashes servers, as one box took it. */
+/** A request that crashes servers, sent to one box. */
 export interface CrashingCall {
   readonly path: string
   readonly box: string
@@ -96,22 +102,21 @@
 export class SoakRecord {
   readonly calls: SoakCall[] = []
   readonly crashing: CrashingCall[] = []
-  /** When boxes were restarted, stood still or were cut off. */
+  /** When boxes were restarted, suspended, disconnected or removed. */
   readonly excuses: {readonly box: string; readonly at: number}[] = []
   readonly trouble = new StoreTrouble()
-  /** When the store came back from an older copy. */
+  /** When the store was restored from an older backup. */
   readonly rises: number[] = []
   readonly versions: SoakVersion[] = []
-  /** Engines that were replaced. */
   readonly gone: LeftEngine[] = []
   readonly faults: {readonly name: string; readonly at: number}[] = []
 
-  /** A box is restarted, stands still or is cut off, or is no longer. */
+  /** Records that a box is restarted, suspended, disconnected or removed. */
   excuse(box: string): void {
     this.excuses.push({box, at: performance.now()})
   }
 
-  /** The faults that began in a time, each with how long after its begin, milliseconds. */
+  /** Returns the faults that began between two times, each as `name+ms since from`. */
   faultsBetween(from: number, to: number): string {
     return this.faults
       .filter(({at}) => at >= from && at <= to)
--- a/test/support/write-pages.ts
+++ b/test/support/write-pages.ts
@@ -1,4 +1,4 @@
-/** Writes the pages that are made from the code. */
+/** Writes the documentation pages that are generated from the code. */
 import {writeFileSync} from "node:fs"
 import {renderErrorsPage, renderEventsPage, renderSettingsPage} from "./pages.js"
 
