--- a/test/support/platform-soak.ts
+++ b/test/support/platform-soak.ts
@@ -1,6 +1,7 @@
 /**
- * A round of random faults from a seed against the real program of a box, as processes on the
- * stand-in of the users' platform. What must hold is judged from what callers and workers saw.
+ * A round of random faults, drawn from a seed, against the real program of a box. Boxes
+ * run as processes on the stand-in of the users' platform. The judges check what callers
+ * and workers observed.
  */
 import {PlatformBed} from "./platform-bed.js"
 import {FAULT_MS, type FaultOptions, SoakFaults} from "./soak-faults.js"
@@ -13,7 +14,7 @@
 import {until} from "./wait.js"
 
 export interface SoakResult {
-  /** What all boxes wrote. */
+  /** Output of all boxes. */
   readonly logs: string
   readonly seed: number
   readonly calls: number
@@ -27,30 +28,33 @@
   readonly seconds: number
   readonly boxes?: number
   /**
-   * Faults with their times, milliseconds from the begin of the round, in place of drawn ones: a case that was red is
-   * played as it was, whatever kinds come later.
+   * Faults with their times (milliseconds from the start of the round), in place of drawn
+   * ones. This replays a failed case unchanged even after new kinds of faults are added.
    */
   readonly script?: readonly (readonly [name: string, at: number])[]
 }
 
-const ADAPTERS = 30
+const ADAPTER_COUNT = 30
 
-const CALL_MS = 25
+const CALL_INTERVAL_MS = 25
 
-/** A server that crashed is back after this, milliseconds. */
-const DOWN_MS = 900
+/** Time after which a crashed server is back. */
+const WORKER_DOWN_MS = 900
 
-/** Turn the seed of a round into those of its second and third series of faults. */
-const SECOND_SEED = 0x5eed
-const THIRD_SEED = 0x1a7e
+/**
+ * XORed with the seed of a round, give the seeds of the incidents and of the rate faults.
+ */
+const INCIDENT_SEED_MASK = 0x5eed
+const RATE_SEED_MASK = 0x1a7e
 
-/** The same for its calls, where faults are given with their times. */
-const CALLS_SEED = 0xca11
+/**
+ * XORed with the seed of a round, gives the seed of its calls if the faults are scripted.
+ */
+const CALL_SEED_MASK = 0xca11
 
-/** Without faults, everything is served again within this. */
-const RECOVERY_LIMIT_MS = 20_000
+/** Limit of the time from the end of all faults until everything is served again. */
+const RECOVERY_TIMEOUT_MS = 20_000
 
-/** Runs one round. */
 export async function runSoakRound(options: SoakOptions): Promise<SoakResult> {
   const round = new SoakRound(options)
   return round.run()
@@ -60,14 +64,14 @@
   private readonly draws_: SoakDraws
   private readonly callDraws_: SoakDraws
   private readonly record_ = new SoakRecord()
-  private readonly calls_: Promise<void>[] = []
+  private readonly pendingCalls_: Promise<void>[] = []
   private readonly notes_: string[] = []
   private readonly violations_: string[] = []
   private organisations_: SoakOrganisations | undefined
 
   constructor(private readonly options_: SoakOptions) {
     this.draws_ = new SoakDraws(options_.seed)
-    this.callDraws_ = new SoakDraws(options_.seed ^ CALLS_SEED)
+    this.callDraws_ = new SoakDraws(options_.seed ^ CALL_SEED_MASK)
   }
 
   async run(): Promise<SoakResult> {
@@ -78,12 +82,12 @@
       plain: 2,
       proxied: true,
       suspendable: true,
-      engine: {downMs: DOWN_MS},
-      plainWorker: {downMs: DOWN_MS},
+      engine: {downMs: WORKER_DOWN_MS},
+      plainWorker: {downMs: WORKER_DOWN_MS},
       keepers: versions,
       usageWindowS: USAGE_WINDOW_S
     })
-    const organisations = this.openOrganisations(bed)
+    const organisations = this.configureOrganisations(bed)
     const faults = new SoakFaults(
       bed,
       this.draws_,
@@ -109,11 +113,14 @@
       faults.over = true
       await bed.stop()
     }
-    return this.tell(logs)
+    return this.toResult(logs)
   }
 
-  /** Callers have keys from here on, if asked for. */
-  private openOrganisations(bed: PlatformBed): SoakOrganisations | undefined {
+  /**
+   * Configures organisations, whose keys callers send from here on, if the options ask
+   * for it.
+   */
+  private configureOrganisations(bed: PlatformBed): SoakOrganisations | undefined {
     if (!this.options_.organisations) return undefined
     this.organisations_ = new SoakOrganisations(this.draws_, tenants => {
       bed.tenants = tenants
@@ -125,13 +132,13 @@
 
   private async play(bed: PlatformBed, faults: SoakFaults): Promise<void> {
     const end = performance.now() + this.options_.seconds * 1000
-    const caller = setInterval(() => this.call(bed), CALL_MS)
+    const callTimer = setInterval(() => this.call(bed), CALL_INTERVAL_MS)
     const {script, seed} = this.options_
     const incidents = script
       ? Promise.resolve()
       : faults.playIncidents(
-          new SoakDraws(seed ^ SECOND_SEED),
-          new SoakDraws(seed ^ THIRD_SEED)
+          new SoakDraws(seed ^ INCIDENT_SEED_MASK),
+          new SoakDraws(seed ^ RATE_SEED_MASK)
         )
     try {
       if (script) await this.playScript(faults, script)
@@ -141,28 +148,30 @@
       }
       faults.calm()
       this.organisations_?.calm()
-      await this.recover(bed)
+      await this.awaitRecovery(bed)
     } finally {
-      clearInterval(caller)
+      clearInterval(callTimer)
     }
     await incidents
-    await Promise.all(this.calls_)
+    await Promise.all(this.pendingCalls_)
   }
 
-  /** What each fault draws depends on the seed and its place alone. */
+  /**
+   * Plays scripted faults. The draws of each depend only on the seed and its position.
+   */
   private async playScript(
     faults: SoakFaults,
     script: NonNullable<SoakOptions["script"]>
   ): Promise<void> {
-    const begun = performance.now()
-    for (const [place, [name, at]] of script.entries()) {
-      await pause(Math.max(0, begun + at - performance.now()))
-      this.draws_.restart(this.options_.seed + place)
+    const startedAt = performance.now()
+    for (const [position, [name, at]] of script.entries()) {
+      await pause(Math.max(0, startedAt + at - performance.now()))
+      this.draws_.restart(this.options_.seed + position)
       await faults.play(name)
     }
   }
 
-  private tell(logs: string): SoakResult {
+  private toResult(logs: string): SoakResult {
     const {calls, faults} = this.record_
     return {
       seed: this.options_.seed,
@@ -185,8 +194,8 @@
       "unsafe"
     ] as const satisfies readonly SoakCall["kind"][])
     const model = kind === "stream" || kind === "once"
-    // Skewed: a few adapters are asked for most.
-    const adapter = `a${Math.floor(ADAPTERS * draws.draw() ** 3)}`
+    // Skewed: a few adapters get most requests.
+    const adapter = `a${Math.floor(ADAPTER_COUNT * draws.draw() ** 3)}`
     const key = this.organisations_?.pickKey()
     const options = {
       ...(model ? {adapter} : {}),
@@ -194,7 +203,7 @@
       ...(key === undefined ? {} : {key})
     }
     const sentAt = performance.now()
-    this.calls_.push(
+    this.pendingCalls_.push(
       bed.call(box, `/${kind}/x`, options).then(outcome => {
         const answeredAt = performance.now()
         this.record_.calls.push({kind, box: box.name, outcome, key, sentAt, answeredAt})
@@ -202,10 +211,9 @@
     )
   }
 
-  /** Waits until everything is served again. */
-  private async recover(bed: PlatformBed): Promise<void> {
-    const begun = performance.now()
-    const settled = async (): Promise<boolean> => {
+  private async awaitRecovery(bed: PlatformBed): Promise<void> {
+    const startedAt = performance.now()
+    const isServed = async (): Promise<boolean> => {
       for (const box of bed.boxes) {
         if (box.child.ended) return false
         const key = this.organisations_ ? {key: this.organisations_.heldKey} : {}
@@ -216,11 +224,11 @@
       return true
     }
     try {
-      await until("all is served again", settled, RECOVERY_LIMIT_MS)
+      await until("all is served again", isServed, RECOVERY_TIMEOUT_MS)
     } catch {
       this.violations_.push("not served again after all faults ended")
     }
-    this.notes_.push(`calm in ${Math.round(performance.now() - begun)} ms`)
+    this.notes_.push(`calm in ${Math.round(performance.now() - startedAt)} ms`)
   }
 }
 
--- a/test/support/soak-faults.ts
+++ b/test/support/soak-faults.ts
@@ -13,44 +13,50 @@
 import {NAMED_ADAPTERS, VersionFaults} from "./soak-version-faults.js"
 import {until} from "./wait.js"
 
-/** By so much the clock of a server steps back before it starts again, milliseconds. */
+/** Step by which the clock of a server goes back before it restarts. */
 const CLOCK_STEP_MS = 5_000
 
-/** Of the faults, this share concerns versions, where asked for: they show only together. */
+/**
+ * Share of the faults that concern versions, if the options ask for them. Their failures
+ * show only when several come together.
+ */
 const VERSION_SHARE = 0.4
 
-/** The same of drills, and of versions around changes of leader. */
+/** The same for restore drills, and for versions around changes of leader. */
 const DRILL_SHARE = 0.3
-const LEAD_SHARE = 0.3
+const LEADER_CHANGE_SHARE = 0.3
 
-/** The same of keys and limits. */
+/** The same for keys and limits. */
 const ORGANISATION_SHARE = 0.4
 
-/** A fault comes about so often, milliseconds. */
+/** Approximate interval between faults. */
 export const FAULT_MS = 700
 
-/** What a box logs as it begins to listen. */
-const LISTENS = '"event":100,'
+/** Part of the log line that a box writes when it starts to listen. */
+const LISTENING_LOG = '"event":100,'
 
 export interface FaultOptions {
-  /** Servers start again under their names, too, and other writers leave entries. */
+  /** Servers also restart under their old names, and other writers leave entries. */
   readonly lives?: boolean
-  /** Versions come in series, engines queue, orders are late, and connections go silent for good. */
+  /**
+   * Versions come in series, engines queue, orders arrive late, and connections go
+   * permanently silent.
+   */
   readonly versions?: boolean
-  /** The store comes back from older copies. */
+  /** The store is restored from older backups. */
   readonly drills?: boolean
-  /** Versions are named as the lead changes. */
+  /** New versions are published while the leader changes. */
   readonly leads?: boolean
-  /** Callers have keys, which are taken away, and limits, which fall. */
+  /** Callers have keys, which are revoked, and limits, which are lowered. */
   readonly organisations?: boolean
 }
 
 export class SoakFaults {
-  /** No box is started again after its deployment has ended. */
+  /** Whether the deployment has ended, after which no box is restarted. */
   over = false
-  private calm_ = false
-  /** Boxes whose processes are stopped. */
-  private readonly frozen_ = new Set<BedBox>()
+  private haveFaultsEnded_ = false
+  /** Boxes whose processes are stopped by SIGSTOP. */
+  private readonly stoppedBoxes_ = new Set<BedBox>()
   private readonly versionFaults_: VersionFaults
   private readonly drillFaults_: DrillFaults
   private rates_: RateFaults | undefined
@@ -62,34 +68,41 @@
     private readonly options_: FaultOptions,
     private readonly organisations_?: SoakOrganisations
   ) {
-    const name = (adapter: string): void => this.name(adapter)
-    const isCalm = (): boolean => this.calm_
-    this.versionFaults_ = new VersionFaults(bed_, draws_, name, isCalm)
+    const publish = (adapter: string): void => this.publishVersion(adapter)
+    const haveFaultsEnded = (): boolean => this.haveFaultsEnded_
+    this.versionFaults_ = new VersionFaults(bed_, draws_, publish, haveFaultsEnded)
     this.drillFaults_ = new DrillFaults(bed_, draws_, record_, {
-      nameVersion: () => this.bump(),
+      nameVersion: () => this.publishRandomVersion(),
       queueAll: () => this.versionFaults_.queueAll(),
       kill: box => this.restart(box, "SIGKILL"),
       freeze: box => this.freeze(box),
       cutFromStore: box => this.cutFromStore(box),
       replaceEngine: () => this.replaceEngine(true),
-      isCalm
+      isCalm: haveFaultsEnded
     })
   }
 
-  /** What each round plays besides; resolves when its callers have their answers. */
+  /**
+   * Plays the incidents and rate faults that every round has in addition. Resolves when
+   * their callers have got their responses.
+   */
   async playIncidents(draws: SoakDraws, rateDraws: SoakDraws): Promise<void> {
     const faults = new IncidentFaults(this.bed_, draws, this.record_, {
-      isHeld: box => this.frozen_.has(box) || box.suspendedFrom !== undefined,
-      isCalm: () => this.calm_,
+      isHeld: box => this.stoppedBoxes_.has(box) || box.suspendedFrom !== undefined,
+      isCalm: () => this.haveFaultsEnded_,
       heldKey: () => this.organisations_?.heldKey
     })
-    this.rates_ = new RateFaults(this.bed_, rateDraws, this.record_, () => this.calm_)
+    this.rates_ = new RateFaults(
+      this.bed_,
+      rateDraws,
+      this.record_,
+      () => this.haveFaultsEnded_
+    )
     await Promise.all([faults.play(), this.rates_.play()])
   }
 
-  /** Ends all faults. */
   calm(): void {
-    this.calm_ = true
+    this.haveFaultsEnded_ = true
     this.rates_?.calm()
     for (const box of this.bed_.boxes) this.bed_.resume(box)
     const {store, workerProxies, boxes} = this.bed_
@@ -102,27 +115,27 @@
     for (const worker of this.workers()) worker.faults = {}
   }
 
-  /** One fault, or the end of one. */
+  /** Draws a fault and injects it. Some kinds only end an earlier one. */
   async disturb(): Promise<void> {
-    const drawn = this.special() ?? this.usual()
-    await this.act(drawn, this.draws_.pick(Object.keys(drawn)))
+    const drawn = this.optionalFaults() ?? this.usualFaults()
+    await this.inject(drawn, this.draws_.pick(Object.keys(drawn)))
   }
 
-  /** A fault that is named. */
+  /** Injects the fault of this name. */
   async play(name: string): Promise<void> {
     const {versionFaults_, drillFaults_} = this
     const all = {
-      ...this.usual(),
-      ...this.livesFaults(),
+      ...this.usualFaults(),
+      ...this.restartFaults(),
       ...versionFaults_.all(),
       ...drillFaults_.drills(),
       ...drillFaults_.leads()
     }
-    if (!(name in all)) throw new Error(`there is no fault ${name}`)
-    await this.act(all, name)
+    if (!(name in all)) throw new Error(`unknown fault in the script: ${name}`)
+    await this.inject(all, name)
   }
 
-  private async act(
+  private async inject(
     faults: Readonly<Record<string, () => unknown>>,
     name: string
   ): Promise<void> {
@@ -130,7 +143,7 @@
     await faults[name]?.()
   }
 
-  private usual(): Readonly<Record<string, () => unknown>> {
+  private usualFaults(): Readonly<Record<string, () => unknown>> {
     return {
       kill: () => this.restart(this.draws_.pick(this.bed_.boxes), "SIGKILL"),
       "kill-leader": () =>
@@ -148,29 +161,33 @@
       "store-forgets": () => this.bed_.store.compact(),
       "cut-from-store": () => this.cutFromStore(this.draws_.pick(this.bed_.boxes)),
       "reset-workers": () => this.draws_.pick(this.bed_.workerProxies).cut(),
-      "silence-worker": () => this.silence(),
+      "silence-worker": () => this.silenceWorker(),
       "lose-answers": () => (this.draws_.pick(this.workers()).faults = {loseAnswers: 2}),
       shed: () => this.workerFault({shedding: true}),
       "break-streams": () => this.workerFault({cutAfterEvents: 2}),
       "lose-orders": () => (this.draws_.pick(this.bed_.engines).faults = {loseOrders: 2}),
       "worker-leaves": () => this.replaceEngine(true),
       "worker-crashes": () => this.replaceEngine(false),
-      version: () => this.bump(),
+      version: () => this.publishRandomVersion(),
       config: () => this.bed_.configure(),
-      // Last, and only where asked for: the seeds of rounds without them draw as they did.
-      ...(this.options_.lives ? this.livesFaults() : {})
+      // Last, and only on request, so that the seeds of other rounds draw the same
+      // faults.
+      ...(this.options_.lives ? this.restartFaults() : {})
     }
   }
 
-  /** Kinds that are drawn from only where asked for: the seeds of other rounds draw as they did. */
-  private special(): Readonly<Record<string, () => unknown>> | undefined {
+  /**
+   * Kinds drawn only on request, so that the seeds of other rounds draw the same faults.
+   */
+  private optionalFaults(): Readonly<Record<string, () => unknown>> | undefined {
     const {versions, drills, leads} = this.options_
     const organisations = this.organisations_
     if (organisations && this.draws_.draw() < ORGANISATION_SHARE) {
       return organisationFaults(organisations, this.organisationActions())
     }
     if (drills && this.draws_.draw() < DRILL_SHARE) return this.drillFaults_.drills()
-    if (leads && this.draws_.draw() < LEAD_SHARE) return this.drillFaults_.leads()
+    if (leads && this.draws_.draw() < LEADER_CHANGE_SHARE)
+      return this.drillFaults_.leads()
     if (versions && this.draws_.draw() < VERSION_SHARE) return this.versionFaults_.all()
     return undefined
   }
@@ -185,11 +202,11 @@
       drill: this.options_.drills
         ? () => this.drillFaults_.drills()["drill"]?.()
         : undefined,
-      isCalm: () => this.calm_
+      isCalm: () => this.haveFaultsEnded_
     }
   }
 
-  private livesFaults(): Readonly<Record<string, () => unknown>> {
+  private restartFaults(): Readonly<Record<string, () => unknown>> {
     return {
       "engine-restarts": () => this.draws_.pick(this.bed_.engines).restart(),
       "engine-restarts-twice": async () => {
@@ -210,7 +227,10 @@
     this.bed_.store.writeBytes(`servers/${id}`, Buffer.from(this.draws_.pick(values)))
   }
 
-  /** Another writer's bytes stand in the entry of a server until that writes it again. */
+  /**
+   * Overwrites the entry of a server with another writer's bytes until the server
+   * rewrites it.
+   */
   private spoilEntry(): void {
     const worker = this.draws_.pick(this.workers())
     worker.hold()
@@ -238,17 +258,21 @@
     })
   }
 
-  /** A process that starts beside many takes seconds until it listens: it is struck until then. */
+  /**
+   * Excuses the box until it listens, which takes seconds if many processes run on the
+   * machine.
+   */
   private excuseStart(box: BedBox): void {
     const {child} = box
-    const listens = (): boolean => child.ended || child.output.includes(LISTENS)
+    const isListening = (): boolean => child.ended || child.output.includes(LISTENING_LOG)
     const excuse = (): void => this.record_.excuse(box.name)
-    void until("the box listens", listens).then(excuse, excuse)
+    void until("the box listens", isListening).then(excuse, excuse)
   }
 
   /**
-   * A process that has not begun to run its program yet is ended by SIGHUP, which no program can
-   * change: as the platform does, it is started again. Any other end of its own stays an end.
+   * Sends SIGHUP. It kills a process that has not installed its handler yet, which no
+   * program can prevent, so the box is then restarted, as the platform does. After any
+   * other exit of its own the box stays down.
    */
   private reload(box: BedBox): void {
     const {child} = box
@@ -262,14 +286,14 @@
 
   private freeze(box: BedBox): void {
     const ms = 500 + 2_500 * this.draws_.draw()
-    // A stopped process whose clock is told to stand must not be let go on early.
+    // A box that is suspended with its clock halted must not be continued early.
     if (box.suspendedFrom !== undefined) return
     const {child} = box
-    this.frozen_.add(box)
+    this.stoppedBoxes_.add(box)
     this.record_.excuse(box.name)
     child.signal("SIGSTOP")
     setTimeout(() => {
-      this.frozen_.delete(box)
+      this.stoppedBoxes_.delete(box)
       this.record_.excuse(box.name)
       child.signal("SIGCONT")
     }, ms)
@@ -295,7 +319,7 @@
     setTimeout(() => proxy?.set(), 500 + 3_000 * this.draws_.draw())
   }
 
-  private silence(): void {
+  private silenceWorker(): void {
     const proxy = this.draws_.pick(this.bed_.workerProxies)
     proxy.set({blockDown: true})
     setTimeout(() => proxy.set(), 300 + 1_500 * this.draws_.draw())
@@ -317,12 +341,12 @@
     setTimeout(() => oldest.stop(), 4_000)
   }
 
-  private bump(): void {
-    this.name(`a${Math.floor(NAMED_ADAPTERS * this.draws_.draw())}`)
+  private publishRandomVersion(): void {
+    this.publishVersion(`a${Math.floor(NAMED_ADAPTERS * this.draws_.draw())}`)
   }
 
-  /** Names the next version of an adapter. */
-  private name(adapter: string): void {
+  /** Publishes the next version of an adapter. */
+  private publishVersion(adapter: string): void {
     const version = (this.bed_.versions.get(adapter) ?? 1) + 1
     this.bed_.bump(adapter, version)
     this.record_.versions.push({adapter, version, at: performance.now()})
