--- a/test/support/soak-drill-faults.ts
+++ b/test/support/soak-drill-faults.ts
@@ -1,22 +1,31 @@
-/** Faults of the soak around drills of the store, which comes back from an older copy, and around changes of leader. */
+/**
+ * Faults of the soak around restore drills, in which the store comes back from an older
+ * backup, and around changes of leader.
+ */
 import type {Drill} from "../stand-ins/platform-store.js"
 import type {BedBox, PlatformBed} from "./platform-bed.js"
 import type {SoakDraws, SoakRecord} from "./soak-record.js"
 
-/** How old a copy is, how long the store is away, and when operators have written again, milliseconds. */
-const COPY_AGE_MS = {least: 300, most: 6_000}
-const AWAY_MS = {least: 50, most: 1_500}
-const REWRITE_MS = {least: 0, most: 2_500}
+/**
+ * Age of the backup, downtime of the store, and delay until operators rewrite their
+ * entries.
+ */
+const BACKUP_AGE_MS = {least: 300, most: 6_000}
+const DOWNTIME_MS = {least: 50, most: 1_500}
+const REWRITE_DELAY_MS = {least: 0, most: 2_500}
 
-/** What a drill meets comes so long before or after it, milliseconds. */
-const APART_MS = {least: 0, most: 900}
+/**
+ * Gap between a drill and the fault before or after it, and delay of each step around a
+ * change of leader.
+ */
+const GAP_MS = {least: 0, most: 900}
 
-interface Span {
+interface Range {
   readonly least: number
   readonly most: number
 }
 
-/** What the other kinds of faults do, for series of them. */
+/** Actions of the other kinds of faults, used in series with those of this file. */
 export interface SoakActions {
   readonly nameVersion: () => void
   readonly queueAll: () => void
@@ -28,7 +37,7 @@
 }
 
 export class DrillFaults {
-  private drilling_ = false
+  private isDrilling_ = false
 
   constructor(
     private readonly bed_: PlatformBed,
@@ -37,13 +46,16 @@
     private readonly actions_: SoakActions
   ) {}
 
-  /** Drills, alone and in series with what they meet; other faults go on meanwhile. */
+  /**
+   * Restore drills, alone and combined with another fault. Other faults continue
+   * meanwhile.
+   */
   drills(): Readonly<Record<string, () => unknown>> {
-    const {nameVersion, kill, replaceEngine, cutFromStore} = this.actions_
+    const {nameVersion: publishVersion, kill, replaceEngine, cutFromStore} = this.actions_
     return {
       drill: () => void this.drill(),
-      "drill-after-version": () => this.drillAfter(nameVersion),
-      "drill-before-version": () => this.drillBefore(nameVersion),
+      "drill-after-version": () => this.drillAfter(publishVersion),
+      "drill-before-version": () => this.drillBefore(publishVersion),
       "drill-after-config": () => this.drillAfter(() => this.bed_.configure()),
       "drill-after-leaving": () => this.drillAfter(replaceEngine),
       "drill-after-kill": () => this.drillAfter(() => kill(this.anyBox())),
@@ -53,29 +65,29 @@
     }
   }
 
-  /** Versions and configurations named in the moment in which the lead changes, behind queues. */
+  /** Versions and configurations published while the leader changes and engines queue. */
   leads(): Readonly<Record<string, () => unknown>> {
     const {kill, freeze, cutFromStore} = this.actions_
     return {
-      "version-as-leader-dies": () => this.nameAround(() => kill(this.leader())),
+      "version-as-leader-dies": () => this.publishAround(() => kill(this.leader())),
       "version-as-leader-stands-still": () =>
-        this.nameAround(() => freeze(this.leader())),
+        this.publishAround(() => freeze(this.leader())),
       "version-as-leader-is-cut": () =>
-        this.nameAround(() => cutFromStore(this.leader())),
+        this.publishAround(() => cutFromStore(this.leader())),
       "version-as-boxes-die": () =>
-        this.nameAround(() => {
+        this.publishAround(() => {
           for (const box of this.bed_.boxes) if (this.draws_.draw() < 0.5) kill(box)
         })
     }
   }
 
   private async drill(): Promise<void> {
-    if (this.drilling_) return
-    this.drilling_ = true
+    if (this.isDrilling_) return
+    this.isDrilling_ = true
     const drill: Drill = {
-      copyAgeMs: this.span(COPY_AGE_MS),
-      awayMs: this.span(AWAY_MS),
-      rewriteMs: this.span(REWRITE_MS),
+      copyAgeMs: this.drawFrom(BACKUP_AGE_MS),
+      awayMs: this.drawFrom(DOWNTIME_MS),
+      rewriteMs: this.drawFrom(REWRITE_DELAY_MS),
       reversed: this.draws_.draw() < 0.5
     }
     this.record_.trouble.begin()
@@ -84,29 +96,29 @@
       this.record_.trouble.end()
     }
     await this.bed_.store.drill({...drill, returned})
-    this.drilling_ = false
+    this.isDrilling_ = false
   }
 
   private drillAfter(action: () => unknown): void {
-    const afterMs = this.span(APART_MS)
+    const afterMs = this.drawFrom(GAP_MS)
     action()
     setTimeout(() => this.actions_.isCalm() || void this.drill(), afterMs)
   }
 
   private drillBefore(action: () => unknown): void {
-    const afterMs = this.span(APART_MS)
+    const afterMs = this.drawFrom(GAP_MS)
     const act = (): unknown => this.actions_.isCalm() || action()
     void this.drill().then(() => setTimeout(act, afterMs))
   }
 
-  private nameAround(action: () => unknown): void {
+  private publishAround(action: () => unknown): void {
     this.actions_.queueAll()
     for (const step of [action, () => this.bed_.configure()]) {
-      setTimeout(() => this.actions_.isCalm() || step(), this.span(APART_MS))
+      setTimeout(() => this.actions_.isCalm() || step(), this.drawFrom(GAP_MS))
     }
     for (let i = 0; i < 2; i++) {
-      const name = (): unknown => this.actions_.isCalm() || this.actions_.nameVersion()
-      setTimeout(name, this.span(APART_MS))
+      const publish = (): unknown => this.actions_.isCalm() || this.actions_.nameVersion()
+      setTimeout(publish, this.drawFrom(GAP_MS))
     }
   }
 
@@ -118,7 +130,7 @@
     return this.draws_.pick(this.bed_.boxes)
   }
 
-  private span({least, most}: Span): number {
+  private drawFrom({least, most}: Range): number {
     return least + (most - least) * this.draws_.draw()
   }
 }
