--- a/test/support/soak-rate-faults.ts
+++ b/test/support/soak-rate-faults.ts
@@ -1,56 +1,62 @@
 /**
- * Servers that name the rate they take from all boxes together, in each round of the soak: one engine from its
- * begin to its end, others for a while. A series of numbers of its own keeps the other faults of a seed as they were.
+ * Servers that advertise the rate limit of all boxes together, in each round of the soak:
+ * at least one engine during the whole round, others for a while. Drawn from a random
+ * series of their own, so that the other faults of a seed stay the same.
  */
 import type {StandInWorker} from "../stand-ins/platform-worker.js"
 import type {PlatformBed} from "./platform-bed.js"
 import type {SoakDraws, SoakRecord} from "./soak-record.js"
 
-/** From the begin of the round until the first engine names its rate, and from one change to the next, milliseconds. */
-const FIRST_MS = 300
-const BETWEEN_MS = {least: 700, most: 2_000}
+/**
+ * Delay until the first engine advertises a rate limit, and the interval between changes.
+ */
+const FIRST_DELAY_MS = 300
+const INTERVAL_MS = {least: 700, most: 2_000}
 
-/** Rates for a while last so long, milliseconds. */
-const NAMED_MS = {least: 500, most: 4_500}
+/** How long temporary rate limits last. */
+const DURATION_MS = {least: 500, most: 4_500}
 
-/** Requests a second that one server takes, and that each takes where all engines name a rate. */
-const FEW = {least: 0.3, most: 5}
-const MANY = {least: 4, most: 12}
+/**
+ * Rate limits (requests per second) of a single server, and of each if all engines
+ * advertise one.
+ */
+const SINGLE_PER_S = {least: 0.3, most: 5}
+const SHARED_PER_S = {least: 4, most: 12}
 
-/** What is no rate. */
-const ODD_RATES = ["-1", "NaN", "1e9", "", "some"]
+/** Header values that aren't valid as rate limits. */
+const INVALID_RATES = ["-1", "NaN", "1e9", "", "some"]
 
-interface Span {
+interface Range {
   readonly least: number
   readonly most: number
 }
 
 export class RateFaults {
-  /** Servers that name a rate for a while. */
-  private readonly named_ = new Set<StandInWorker>()
+  /** Servers that advertise a rate limit temporarily. */
+  private readonly temporary_ = new Set<StandInWorker>()
 
   constructor(
     private readonly bed_: PlatformBed,
     private readonly draws_: SoakDraws,
     private readonly record_: SoakRecord,
-    private readonly isCalm_: () => boolean
+    private readonly haveFaultsEnded_: () => boolean
   ) {}
 
-  /** Plays the series until the round is calm. */
+  /** Injects faults until they have ended. */
   async play(): Promise<void> {
-    await pause(FIRST_MS)
+    await pause(FIRST_DELAY_MS)
     const kinds = this.kinds()
     let turn = Math.floor(this.draws_.draw() * kinds.length)
-    while (!this.isCalm_()) {
-      this.keepOne()
+    while (!this.haveFaultsEnded_()) {
+      this.ensureOneAdvertised()
       const [name, act] = kinds[turn++ % kinds.length] as (typeof kinds)[number]
       this.record_.faults.push({name, at: performance.now()})
       act()
-      await pause(this.span(BETWEEN_MS))
+      await pause(this.drawFrom(INTERVAL_MS))
     }
   }
 
-  /** All names end. */
+  /** Ends all rate limits. */
   calm(): void {
     for (const worker of [...this.bed_.engines, ...this.bed_.plain]) {
       worker.nameRate(undefined)
@@ -60,47 +66,59 @@
   private kinds(): [name: string, act: () => void][] {
     const {engines, plain} = this.bed_
     return [
-      ["plain-names-rate", () => this.nameFor(this.draws_.pick(plain), this.rate(FEW))],
+      [
+        "plain-names-rate",
+        () => this.advertiseTemporarily(this.draws_.pick(plain), this.rate(SINGLE_PER_S))
+      ],
       [
         "engine-names-rate",
-        () => this.nameFor(this.draws_.pick(engines), this.rate(FEW))
+        () =>
+          this.advertiseTemporarily(this.draws_.pick(engines), this.rate(SINGLE_PER_S))
+      ],
+      [
+        "engine-names-zero",
+        () => this.advertiseTemporarily(this.draws_.pick(engines), "0")
       ],
-      ["engine-names-zero", () => this.nameFor(this.draws_.pick(engines), "0")],
-      ["engines-name-rates", () => this.nameAll()],
+      ["engines-name-rates", () => this.advertiseAll()],
       [
         "engine-names-oddly",
-        () => this.nameFor(this.draws_.pick(engines), this.draws_.pick(ODD_RATES))
+        () =>
+          this.advertiseTemporarily(
+            this.draws_.pick(engines),
+            this.draws_.pick(INVALID_RATES)
+          )
       ]
     ]
   }
 
-  /** One engine at least names a rate at any time. */
-  private keepOne(): void {
+  /** Ensures that at least one engine advertises a rate limit. */
+  private ensureOneAdvertised(): void {
     const {engines} = this.bed_
     if (engines.some(engine => engine.rate !== undefined)) return
     this.record_.faults.push({name: "engine-keeps-rate", at: performance.now()})
-    engines[0]?.nameRate(this.rate(FEW))
+    engines[0]?.nameRate(this.rate(SINGLE_PER_S))
   }
 
-  private nameAll(): void {
-    for (const engine of this.bed_.engines) this.nameFor(engine, this.rate(MANY))
+  private advertiseAll(): void {
+    for (const engine of this.bed_.engines)
+      this.advertiseTemporarily(engine, this.rate(SHARED_PER_S))
   }
 
-  private nameFor(worker: StandInWorker, rate: string): void {
-    // What it names already goes on.
+  private advertiseTemporarily(worker: StandInWorker, rate: string): void {
+    // A rate limit that is already advertised stays.
     if (worker.rate !== undefined) return
     worker.nameRate(rate)
-    this.named_.add(worker)
+    this.temporary_.add(worker)
     setTimeout(() => {
-      if (this.named_.delete(worker)) worker.nameRate(undefined)
-    }, this.span(NAMED_MS))
+      if (this.temporary_.delete(worker)) worker.nameRate(undefined)
+    }, this.drawFrom(DURATION_MS))
   }
 
-  private rate(span: Span): string {
-    return this.span(span).toFixed(2)
+  private rate(range: Range): string {
+    return this.drawFrom(range).toFixed(2)
   }
 
-  private span({least, most}: Span): number {
+  private drawFrom({least, most}: Range): number {
     return least + (most - least) * this.draws_.draw()
   }
 }
--- a/test/support/soak-version-faults.ts
+++ b/test/support/soak-version-faults.ts
@@ -1,33 +1,39 @@
-/** Faults of the soak around versions: several in a row, engines that queue, late orders, silent connections. */
+/**
+ * Faults of the soak around versions: several in a row, engines that queue, delayed
+ * orders, silent connections.
+ */
 import type {WorkerFaults} from "../stand-ins/platform-worker.js"
 import type {PlatformBed} from "./platform-bed.js"
 import type {SoakDraws} from "./soak-record.js"
 
-/** Adapters of which new versions are named: those that are asked for most. */
+/** Count of adapters that get new versions: those with the most requests. */
 export const NAMED_ADAPTERS = 4
 
-/** So long requests wait at an engine that queues, milliseconds. */
-const QUEUE_MS = {least: 1_000, most: 3_500}
+/** Time that requests wait at an engine that queues. */
+const QUEUE_TIME_MS = {least: 1_000, most: 3_500}
 
-/** So long an engine queues or is late with orders, milliseconds. */
+/** Time for which an engine queues or delays orders. */
 const ENGINE_FAULT_MS = {least: 1_500, most: 6_000}
 
-/** So late orders reach an engine or are answered, milliseconds. */
-const ORDER_MS = {least: 300, most: 8_000}
+/** Delay of orders to an engine, or of its answers. */
+const ORDER_DELAY_MS = {least: 300, most: 8_000}
 
-/** Versions follow each other so closely, or so far apart, milliseconds. */
-const CLOSE_MS = {least: 50, most: 600}
-const APART_MS = {least: 500, most: 3_000}
+/** Short and long gaps between consecutive versions. */
+const SHORT_GAP_MS = {least: 50, most: 600}
+const LONG_GAP_MS = {least: 500, most: 3_000}
 
-/** After the naming of versions engines begin to queue, milliseconds. */
-const BEFORE_QUEUE_MS = {least: 300, most: 3_500}
+/** Delay from the publication of versions until engines start to queue. */
+const QUEUE_DELAY_MS = {least: 300, most: 3_500}
 
-/** Engines are out of the leader's reach and queue for longer than an old version may run, milliseconds. */
+/**
+ * The leader's orders don't take effect, and engines queue, for longer than an old
+ * version may run.
+ */
 const HELD_BACK_MS = {least: 5_000, most: 7_000}
 const HELD_BACK_QUEUE_MS = {least: 2_500, most: 3_500}
-const HELD_BACK_BEFORE_MS = {least: 0, most: 2_200}
+const HELD_BACK_QUEUE_DELAY_MS = {least: 0, most: 2_200}
 
-interface Span {
+interface Range {
   readonly least: number
   readonly most: number
 }
@@ -36,67 +42,84 @@
   constructor(
     private readonly bed_: PlatformBed,
     private readonly draws_: SoakDraws,
-    private readonly name_: (adapter: string) => void,
-    private readonly isCalm_: () => boolean
+    private readonly publishVersion_: (adapter: string) => void,
+    private readonly haveFaultsEnded_: () => boolean
   ) {}
 
   all(): Readonly<Record<string, () => unknown>> {
     return {
-      "engine-queues": () => this.disturbOne({queueMs: this.span(QUEUE_MS)}),
+      "engine-queues": () =>
+        this.disturbRandomEngine({queueMs: this.drawFrom(QUEUE_TIME_MS)}),
       "engines-queue": () => this.queueAll(),
-      "versions-close": () => this.nameSeries(2 + this.below(3), CLOSE_MS),
-      "versions-apart": () => this.nameSeries(2 + this.below(2), APART_MS),
-      "versions-then-queue": () => this.nameThenQueue(),
-      "versions-held-back": () => this.holdBack(),
-      "orders-late": () => this.disturbOne({orderDelayMs: this.span(ORDER_MS)}),
-      "orders-answered-late": () => this.disturbOne({orderAnswerMs: this.span(ORDER_MS)}),
-      "orders-unanswered": () => this.disturbOne(this.lateOrders()),
+      "versions-close": () => this.publishSeries(2 + this.drawBelow(3), SHORT_GAP_MS),
+      "versions-apart": () => this.publishSeries(2 + this.drawBelow(2), LONG_GAP_MS),
+      "versions-then-queue": () => this.publishThenQueue(),
+      "versions-held-back": () => this.holdBackVersions(),
+      "orders-late": () =>
+        this.disturbRandomEngine({orderDelayMs: this.drawFrom(ORDER_DELAY_MS)}),
+      "orders-answered-late": () =>
+        this.disturbRandomEngine({orderAnswerMs: this.drawFrom(ORDER_DELAY_MS)}),
+      "orders-unanswered": () => this.disturbRandomEngine(this.delayUnansweredOrders()),
       "silent-worker-links": () => this.draws_.pick(this.bed_.workerProxies).silence(),
       "silent-store-links": () => this.draws_.pick(this.bed_.boxes).storeProxy?.silence(),
       "silent-links": () => this.silenceAll()
     }
   }
 
-  /** They are carried out all the same, later than ones that come after. */
-  private lateOrders(): WorkerFaults {
-    return {unansweredOrders: Infinity, orderDelayMs: this.span(ORDER_MS)}
+  /**
+   * Orders that are never answered but are executed, after orders that were sent later.
+   */
+  private delayUnansweredOrders(): WorkerFaults {
+    return {unansweredOrders: Infinity, orderDelayMs: this.drawFrom(ORDER_DELAY_MS)}
   }
 
-  private nameThenQueue(): void {
-    this.nameSeries(1 + this.below(2), CLOSE_MS)
-    this.later(this.span(BEFORE_QUEUE_MS), () => this.queueAll())
+  private publishThenQueue(): void {
+    this.publishSeries(1 + this.drawBelow(2), SHORT_GAP_MS)
+    this.schedule(this.drawFrom(QUEUE_DELAY_MS), () => this.queueAll())
   }
 
-  /** No engine replaces what it holds for a while, and all queue what came for the old versions. */
-  private holdBack(): void {
-    const forMs = this.span(HELD_BACK_MS)
+  /**
+   * For a while no engine replaces the weights that it holds, and all engines queue
+   * requests for the old versions.
+   */
+  private holdBackVersions(): void {
+    const forMs = this.drawFrom(HELD_BACK_MS)
     this.disturbAll({unansweredOrders: Infinity, orderDelayMs: forMs}, forMs)
-    this.nameSeries(1 + this.below(2), CLOSE_MS)
-    const queue = {queueMs: this.span(HELD_BACK_QUEUE_MS)}
-    this.later(this.span(HELD_BACK_BEFORE_MS), () => this.disturbAll(queue, forMs))
+    this.publishSeries(1 + this.drawBelow(2), SHORT_GAP_MS)
+    const queue = {queueMs: this.drawFrom(HELD_BACK_QUEUE_MS)}
+    this.schedule(this.drawFrom(HELD_BACK_QUEUE_DELAY_MS), () =>
+      this.disturbAll(queue, forMs)
+    )
   }
 
-  /** All engines queue for a while. */
+  /** Makes all engines queue for a while. */
   queueAll(): void {
-    this.disturbAll({queueMs: this.span(QUEUE_MS)}, this.span(ENGINE_FAULT_MS))
+    this.disturbAll(
+      {queueMs: this.drawFrom(QUEUE_TIME_MS)},
+      this.drawFrom(ENGINE_FAULT_MS)
+    )
   }
 
-  /** Names so many versions of each of one or more adapters. */
-  private nameSeries(count: number, gap: Span): void {
-    const first = this.below(NAMED_ADAPTERS)
-    const adapters = 1 + this.below(NAMED_ADAPTERS)
+  /** Publishes `count` versions of each of one or more adapters. */
+  private publishSeries(count: number, gap: Range): void {
+    const first = this.drawBelow(NAMED_ADAPTERS)
+    const adapters = 1 + this.drawBelow(NAMED_ADAPTERS)
     let at = 0
     for (let i = 0; i < count; i++) {
       for (let j = 0; j < adapters; j++) {
         const adapter = `a${(first + j) % NAMED_ADAPTERS}`
-        this.later(at, () => this.name_(adapter))
+        this.schedule(at, () => this.publishVersion_(adapter))
       }
-      at += this.span(gap)
+      at += this.drawFrom(gap)
     }
   }
 
-  private disturbOne(faults: WorkerFaults): void {
-    this.disturb(this.draws_.pick(this.bed_.engines), faults, this.span(ENGINE_FAULT_MS))
+  private disturbRandomEngine(faults: WorkerFaults): void {
+    this.disturb(
+      this.draws_.pick(this.bed_.engines),
+      faults,
+      this.drawFrom(ENGINE_FAULT_MS)
+    )
   }
 
   private disturbAll(faults: WorkerFaults, forMs: number): void {
@@ -110,9 +133,9 @@
   ): void {
     engine.faults = {...engine.faults, ...faults}
     setTimeout(() => {
-      const left = {...engine.faults}
-      for (const name of Object.keys(faults)) delete left[name as keyof WorkerFaults]
-      engine.faults = left
+      const remaining = {...engine.faults}
+      for (const name of Object.keys(faults)) delete remaining[name as keyof WorkerFaults]
+      engine.faults = remaining
     }, forMs)
   }
 
@@ -121,17 +144,17 @@
     for (const {storeProxy} of this.bed_.boxes) storeProxy?.silence()
   }
 
-  private later(afterMs: number, action: () => void): void {
+  private schedule(afterMs: number, action: () => void): void {
     setTimeout(() => {
-      if (!this.isCalm_()) action()
+      if (!this.haveFaultsEnded_()) action()
     }, afterMs)
   }
 
-  private span({least, most}: Span): number {
+  private drawFrom({least, most}: Range): number {
     return least + (most - least) * this.draws_.draw()
   }
 
-  private below(count: number): number {
+  private drawBelow(count: number): number {
     return Math.floor(count * this.draws_.draw())
   }
 }
