--- a/test/support/soak-organisations.ts
+++ b/test/support/soak-organisations.ts
@@ -1,60 +1,65 @@
-/** Organisations in a round of the soak: callers' keys, keys that are taken away, limits that fall. */
+/** Organisations in a round of the soak: callers' keys, revoked keys, lowered limits. */
 import type {BedTenant} from "./platform-bed.js"
 import type {SoakDraws} from "./soak-record.js"
 
-/** The window in which use is counted, seconds. */
+/** Window in which usage counts. */
 export const USAGE_WINDOW_S = 4
 
-/** What boxes may use beyond a limit, as a part of it; as the bed tells them. */
-const OVERAGE = 0.1
+/** Fraction of a limit by which boxes may exceed it. The test bed configures the same. */
+const OVERAGE_FRACTION = 0.1
 
-/** Tokens of each call of the soak. */
+/** Tokens charged for each call. */
 const CALL_TOKENS = 120
 
-const ORGANISATIONS = 3
-const KEYS = 3
+const ORGANISATION_COUNT = 3
+const KEYS_PER_ORGANISATION = 3
 
-/** What an organisation may use a second, in calls: the usual, and while its limit is lowered. */
-const USUAL_CALLS = 30
-const LOWERED_CALLS = 4
+/** Limit of an organisation: the usual one, and the lowered one. */
+const USUAL_CALLS_PER_S = 30
+const LOWERED_CALLS_PER_S = 4
 
-/** A key that callers go on using, and when the store acknowledged that it was taken away. */
-interface HeldKey {
+/** A key that callers use, also after the store has acknowledged its revocation. */
+interface CallerKey {
   readonly key: string
   readonly organisation: string
-  takenAt: number | undefined
+  revokedAt: number | undefined
 }
 
-/** A limit, from when it was acknowledged. */
+/** A limit, and when the store acknowledged it. */
 export interface SetLimit {
   readonly organisation: string
   readonly at: number
   readonly tokens: number
 }
 
-/** Who calls with which key, and what boxes may let through. */
+/**
+ * The keys of all organisations and the limits up to which boxes may admit their
+ * requests.
+ */
 export class SoakOrganisations {
   readonly limits: SetLimit[] = []
-  private readonly keys_: HeldKey[] = []
-  private calls_ = Array.from({length: ORGANISATIONS}, () => USUAL_CALLS)
-  private made_ = 0
+  private readonly keys_: CallerKey[] = []
+  private callsPerS_ = Array.from({length: ORGANISATION_COUNT}, () => USUAL_CALLS_PER_S)
+  private nextKeyId_ = 0
 
   constructor(
     private readonly draws_: SoakDraws,
     private readonly configure_: (tenants: readonly BedTenant[]) => void
   ) {
-    for (let i = 0; i < ORGANISATIONS; i++) {
-      for (let j = 0; j < KEYS; j++) this.addKey(`org-${i}`)
-      this.noteLimit(i)
+    for (let i = 0; i < ORGANISATION_COUNT; i++) {
+      for (let j = 0; j < KEYS_PER_ORGANISATION; j++) this.addKey(`org-${i}`)
+      this.recordLimit(i)
     }
   }
 
-  /** As operators write them. */
+  /** Records of the organisations as operators write them. */
   get tenants(): BedTenant[] {
-    return this.calls_.map((calls, i) => ({
+    return this.callsPerS_.map((calls, i) => ({
       name: `org-${i}`,
       apiKeys: this.keys_
-        .filter(each => each.organisation === `org-${i}` && each.takenAt === undefined)
+        .filter(
+          entry => entry.organisation === `org-${i}` && entry.revokedAt === undefined
+        )
         .map(({key}) => key),
       priority: i % 2,
       unit: "tokens",
@@ -64,7 +69,10 @@
     }))
   }
 
-  /** The key of the next call: one that is held or was, seldom one that never was or none. */
+  /**
+   * Returns the key of the next call: valid or revoked, rarely one that never existed or
+   * none.
+   */
   pickKey(): string | undefined {
     const draw = this.draws_.draw()
     if (draw < 0.03) return undefined
@@ -72,95 +80,102 @@
     return this.draws_.pick(this.keys_).key
   }
 
-  /** Takes a key away; its callers go on using it. */
-  takeKey(): void {
-    const held = this.keys_.filter(({takenAt}) => takenAt === undefined)
-    if (held.length <= ORGANISATIONS) return
-    const taken = this.draws_.pick(held)
-    // It counts from the acknowledgement, which comes with the change.
-    taken.takenAt = Infinity
-    this.addKey(taken.organisation)
+  /**
+   * Revokes a random key, which callers continue to use. Does nothing if too few are
+   * left.
+   */
+  revokeKey(): void {
+    const valid = this.keys_.filter(({revokedAt}) => revokedAt === undefined)
+    if (valid.length <= ORGANISATION_COUNT) return
+    const revoked = this.draws_.pick(valid)
+    // The revocation counts from its acknowledgement, that is from the return of
+    // `configure_`.
+    revoked.revokedAt = Infinity
+    this.addKey(revoked.organisation)
     this.configure_(this.tenants)
-    taken.takenAt = performance.now()
+    revoked.revokedAt = performance.now()
   }
 
-  /** Lowers a limit far below what is asked for, or sets it back. */
+  /** Lowers a random organisation's limit far below its demand, or restores the limit. */
   changeLimit(): void {
-    const organisation = Math.floor(this.draws_.draw() * ORGANISATIONS)
-    const lowered = this.calls_[organisation] === LOWERED_CALLS
-    this.calls_ = this.calls_.map((calls, i) =>
-      i === organisation ? (lowered ? USUAL_CALLS : LOWERED_CALLS) : calls
+    const organisation = Math.floor(this.draws_.draw() * ORGANISATION_COUNT)
+    const lowered = this.callsPerS_[organisation] === LOWERED_CALLS_PER_S
+    this.callsPerS_ = this.callsPerS_.map((calls, i) =>
+      i === organisation ? (lowered ? USUAL_CALLS_PER_S : LOWERED_CALLS_PER_S) : calls
     )
     this.configure_(this.tenants)
-    this.noteLimit(organisation)
+    this.recordLimit(organisation)
   }
 
-  /** Keys are asked for from here on. */
+  /** Writes the organisations, from which on boxes demand keys. */
   open(): void {
     this.configure_(this.tenants)
   }
 
-  /** All may use their usual again. */
+  /** Restores the usual limits. */
   calm(): void {
-    this.calls_ = this.calls_.map(() => USUAL_CALLS)
+    this.callsPerS_ = this.callsPerS_.map(() => USUAL_CALLS_PER_S)
     this.configure_(this.tenants)
   }
 
-  /** A key that is held. */
+  /** A key that isn't revoked. */
   get heldKey(): string {
-    return this.keys_.find(({takenAt}) => takenAt === undefined)?.key ?? ""
+    return this.keys_.find(({revokedAt}) => revokedAt === undefined)?.key ?? ""
   }
 
-  /** Whether the key was held from the beginning and never taken away. */
+  /** Whether the key has existed since the start of the round and was never revoked. */
   isSteady(key: string | undefined): boolean {
-    const place = this.keys_.findIndex(each => each.key === key)
-    if (place < 0 || place >= ORGANISATIONS * KEYS) return false
-    return this.keys_[place]?.takenAt === undefined
+    const index = this.keys_.findIndex(entry => entry.key === key)
+    if (index < 0 || index >= ORGANISATION_COUNT * KEYS_PER_ORGANISATION) return false
+    return this.keys_[index]?.revokedAt === undefined
   }
 
-  /** Whose key it is or was; undefined: nobody's. */
+  /**
+   * Returns the organisation that holds or held the key. Undefined if the key never
+   * existed.
+   */
   ownerOf(key: string | undefined): string | undefined {
-    return this.keys_.find(each => each.key === key)?.organisation
+    return this.keys_.find(entry => entry.key === key)?.organisation
   }
 
   takenAt(key: string | undefined): number | undefined {
-    return this.keys_.find(each => each.key === key)?.takenAt
+    return this.keys_.find(entry => entry.key === key)?.revokedAt
   }
 
   private addKey(organisation: string): void {
-    this.keys_.push({key: `key-${this.made_++}`, organisation, takenAt: undefined})
+    this.keys_.push({key: `key-${this.nextKeyId_++}`, organisation, revokedAt: undefined})
   }
 
-  private noteLimit(index: number): void {
-    const calls = this.calls_[index] ?? 0
-    const tokens = calls * (USAGE_WINDOW_S + 1) * CALL_TOKENS * (1 + OVERAGE)
+  private recordLimit(index: number): void {
+    const calls = this.callsPerS_[index] ?? 0
+    const tokens = calls * (USAGE_WINDOW_S + 1) * CALL_TOKENS * (1 + OVERAGE_FRACTION)
     this.limits.push({organisation: `org-${index}`, at: performance.now(), tokens})
   }
 }
 
-/** What the other kinds of faults do, for series with these. */
+/** Actions of the other kinds of faults, combined with those of this file. */
 export interface OrganisationActions {
   readonly cutFromStore: () => void
   readonly freeze: () => void
   readonly killLeader: () => unknown
-  /** Undefined: the store never comes back from a copy. */
+  /** Undefined if the round has no restore drills. */
   readonly drill: (() => unknown) | undefined
   readonly isCalm: () => boolean
 }
 
-/** The faults that organisations add to a round. */
+/** Returns the faults that organisations add to a round. */
 export function organisationFaults(
   organisations: SoakOrganisations,
   actions: OrganisationActions
 ): Readonly<Record<string, () => unknown>> {
-  const withKey = (action: () => unknown) => (): void => {
+  const thenRevokeKey = (action: () => unknown) => (): void => {
     action()
-    setTimeout(() => actions.isCalm() || organisations.takeKey(), 150)
+    setTimeout(() => actions.isCalm() || organisations.revokeKey(), 150)
   }
   return {
-    "key-taken": () => organisations.takeKey(),
-    "key-taken-behind-cut": withKey(actions.cutFromStore),
-    "key-taken-behind-freeze": withKey(actions.freeze),
+    "key-taken": () => organisations.revokeKey(),
+    "key-taken-behind-cut": thenRevokeKey(actions.cutFromStore),
+    "key-taken-behind-freeze": thenRevokeKey(actions.freeze),
     "limit-changed": () => organisations.changeLimit(),
     "limit-changed-behind-kill": () => {
       organisations.changeLimit()
@@ -172,13 +187,13 @@
 
 function drillFaults(
   organisations: SoakOrganisations,
-  {drill, isCalm}: OrganisationActions
+  {drill, isCalm: haveFaultsEnded}: OrganisationActions
 ): Readonly<Record<string, () => unknown>> {
   if (!drill) return {}
   return {
     "key-taken-before-drill": () => {
-      organisations.takeKey()
-      setTimeout(() => isCalm() || void drill(), 100)
+      organisations.revokeKey()
+      setTimeout(() => haveFaultsEnded() || void drill(), 100)
     }
   }
 }
