--- a/test/platform-soak-organisations.test.ts
+++ b/test/platform-soak-organisations.test.ts
@@ -1,4 +1,7 @@
-/** A seeded round in which callers have keys that are taken away, and organisations limits that fall. */
+/**
+ * A seeded round in which keys of callers are revoked and limits of organisations
+ * lowered.
+ */
 import {playSeeds} from "./support/soak-seeds.js"
 
 playSeeds("organisation-seeds.json")
--- a/test/platform-soak-versions.test.ts
+++ b/test/platform-soak-versions.test.ts
@@ -1,4 +1,7 @@
-/** Seeded rounds in which requests once began on a version that was over. A file of its own: they take two minutes. */
+/**
+ * Seeded rounds in which requests were once started on a version that had been replaced.
+ * They have a file of their own because they take two minutes.
+ */
 import {playSeeds} from "./support/soak-seeds.js"
 
 playSeeds("version-seeds.json")
--- a/test/platform-soak.test.ts
+++ b/test/platform-soak.test.ts
@@ -1,4 +1,7 @@
-/** Seeded rounds of the fault soak: short ones, and those that failed once; `npm run soak` runs more. */
+/**
+ * Seeded rounds of the fault soak: short ones, and ones that once failed. `npm run soak`
+ * runs more.
+ */
 import {playSeeds} from "./support/soak-seeds.js"
 
 playSeeds("seeds.json")
