--- a/test/organisations.test.ts
+++ b/test/organisations.test.ts
@@ -1,4 +1,4 @@
-/** Organisations as operators write them, with whatever else may stand there. */
+/** Reading of organisations as operators write them, including malformed entries. */
 import t from "tap"
 import {platformDialect} from "../platform/dialect.js"
 import {platformRecords} from "../platform/records.js"
@@ -27,8 +27,8 @@
   return platformRecords.readConfig("op/config", text)?.organisations ?? []
 }
 
-/** Where findings are told. */
-function placesOf(tenants: unknown): string[] {
+/** Returns the JSON pointers of the findings. */
+function findingPointers(tenants: unknown): string[] {
   try {
     read(tenants)
     return []
@@ -38,7 +38,7 @@
   }
 }
 
-t.test("keys are kept as digests, limits with their unit", async t => {
+t.test("keys are stored as digests, limits with their unit", async t => {
   const [one] = read([TENANT]) as [RoutedOrganisation]
   t.match(one, {
     name: "one",
@@ -50,28 +50,28 @@
   t.same(read(undefined), [])
 })
 
-t.test("no limit is told by none, or by a rate of 0", async t => {
+t.test("a missing rate or a rate of 0 means no limit", async t => {
   const unlimited = {...TENANT, ratePerS: undefined}
   t.equal(read([unlimited])[0]?.limit, undefined)
   t.equal(read([{...TENANT, ratePerS: 0}])[0]?.limit, undefined)
 })
 
-t.test("an organisation may have lost all its keys", async t => {
+t.test("an organisation may have no keys", async t => {
   t.same(read([{...TENANT, apiKeys: []}])[0]?.keys, [])
 })
 
-t.test("what is no organisation is a finding with its place", async t => {
+t.test("an invalid organisation gives a finding with its position", async t => {
   const keyless = {...TENANT, apiKeys: undefined}
-  t.same(placesOf([keyless]), ["/tenants/0/apiKeys"])
-  t.same(placesOf([TENANT, {...TENANT, name: "two"}]), [
+  t.same(findingPointers([keyless]), ["/tenants/0/apiKeys"])
+  t.same(findingPointers([TENANT, {...TENANT, name: "two"}]), [
     "/tenants/1/apiKeys/0",
     "/tenants/1/apiKeys/1"
   ])
-  t.same(placesOf([TENANT, {...TENANT, apiKeys: ["k3"]}]), ["/tenants/1/name"])
-  t.same(placesOf([{...TENANT, ratePerS: -1}]), ["/tenants/0/ratePerS"])
-  t.same(placesOf([{...TENANT, unit: "bytes"}]), ["/tenants/0/unit"])
-  t.same(placesOf([{...TENANT, apiKeys: [""]}]), ["/tenants/0/apiKeys/0"])
-  t.same(placesOf([{...TENANT, name: "a\r\nb: c"}]), ["/tenants/0/name"])
+  t.same(findingPointers([TENANT, {...TENANT, apiKeys: ["k3"]}]), ["/tenants/1/name"])
+  t.same(findingPointers([{...TENANT, ratePerS: -1}]), ["/tenants/0/ratePerS"])
+  t.same(findingPointers([{...TENANT, unit: "bytes"}]), ["/tenants/0/unit"])
+  t.same(findingPointers([{...TENANT, apiKeys: [""]}]), ["/tenants/0/apiKeys/0"])
+  t.same(findingPointers([{...TENANT, name: "a\r\nb: c"}]), ["/tenants/0/name"])
 })
 
 t.test("ten thousand keys are read", async t => {
@@ -79,48 +79,61 @@
   t.equal(read([{...TENANT, apiKeys}])[0]?.keys.length, 10_000)
 })
 
-t.test("whatever stands in place of an organisation, it is read or refused", async t => {
-  let state = createRandom(7)
-  const draw = (limit: number): number => {
-    const [value, next] = uniformFloat64(state)
-    state = next
-    return Math.floor(value * limit)
-  }
-  const values = [null, -1, 0, 1e300, "", "k1", [], [""], {}, true, [null], NaN]
-  for (let i = 0; i < 500; i++) {
-    const names = Object.keys(TENANT)
-    const spoilt = {...TENANT, [names[draw(names.length)] as string]: values[draw(12)]}
-    t.doesNotThrow(() => placesOf([spoilt]))
+t.test(
+  "a random value in an organisation is either read or rejected with findings",
+  async t => {
+    let state = createRandom(7)
+    const draw = (limit: number): number => {
+      const [value, next] = uniformFloat64(state)
+      state = next
+      return Math.floor(value * limit)
+    }
+    const values = [null, -1, 0, 1e300, "", "k1", [], [""], {}, true, [null], NaN]
+    for (let i = 0; i < 500; i++) {
+      const names = Object.keys(TENANT)
+      const malformed = {
+        ...TENANT,
+        [names[draw(names.length)] as string]: values[draw(12)]
+      }
+      t.doesNotThrow(() => findingPointers([malformed]))
+    }
   }
-})
+)
 
-t.test("a request with two keys, an empty or a long one holds no key", async t => {
-  const known = read([TENANT])[0]?.keys
-  const held = (value: string): boolean =>
-    known?.includes(platformDialect.readRequest({"x-api-key": value}).key ?? "") === true
-  t.ok(held("k1"))
-  // Node joins a header that stands twice.
-  for (const value of ["k1, k2", "", " ", "k1 ", "x".repeat(9_000)]) t.notOk(held(value))
+t.test("two keys, an empty key or a long key don't match a key", async t => {
+  const keys = read([TENANT])[0]?.keys
+  const isMatch = (value: string): boolean =>
+    keys?.includes(platformDialect.readRequest({"x-api-key": value}).key ?? "") === true
+  t.ok(isMatch("k1"))
+  // Node.js joins the values of a repeated header.
+  for (const value of ["k1, k2", "", " ", "k1 ", "x".repeat(9_000)])
+    t.notOk(isMatch(value))
 })
 
-t.test("tokens in and out count together; who tells none counts as told", async t => {
-  const usage = (text: string): number | undefined =>
-    platformDialect.readRequest({"x-token-usage": text}).usage
-  t.equal(usage("1460,80"), 1_540)
-  t.equal(usage("1460"), 1_460)
-  t.equal(usage("-5,80"), 80)
-  t.equal(usage("x,80"), 80)
-  t.equal(platformDialect.readRequest({}).usage, undefined)
-})
+t.test(
+  "input and output tokens are added up, and the usage is undefined without the header",
+  async t => {
+    const usage = (text: string): number | undefined =>
+      platformDialect.readRequest({"x-token-usage": text}).usage
+    t.equal(usage("1460,80"), 1_540)
+    t.equal(usage("1460"), 1_460)
+    t.equal(usage("-5,80"), 80)
+    t.equal(usage("x,80"), 80)
+    t.equal(platformDialect.readRequest({}).usage, undefined)
+  }
+)
 
-// The parser's own words quote what stands around a fault, and findings go into logs.
-t.test("a configuration that cannot be parsed tells none of its keys", async t => {
-  for (const text of ['{"apiKeys":[secret-1]}', '{"apiKeys":["secret-1"],x}']) {
-    try {
-      platformRecords.readConfig("op/config", text)
-      t.fail("it cannot be read")
-    } catch (cause) {
-      t.notMatch((cause as Error).message, /secret/)
+// The parser's message quotes the text around a syntax error, and findings are logged.
+t.test(
+  "the error of a configuration that can't be parsed contains none of its keys",
+  async t => {
+    for (const text of ['{"apiKeys":[secret-1]}', '{"apiKeys":["secret-1"],x}']) {
+      try {
+        platformRecords.readConfig("op/config", text)
+        t.fail("an invalid configuration was read")
+      } catch (cause) {
+        t.notMatch((cause as Error).message, /secret/)
+      }
     }
   }
-})
+)
--- a/test/platform-keys.test.ts
+++ b/test/platform-keys.test.ts
@@ -1,4 +1,4 @@
-/** Keys and limits on the whole path: real boxes on the stand-in of the platform. */
+/** Keys and limits end to end: real boxes on the stand-in of the platform. */
 import {setTimeout as sleep} from "node:timers/promises"
 import t from "tap"
 import {type BedBox, type BedTenant, KEY_MS, PlatformBed} from "./support/platform-bed.js"
@@ -7,19 +7,19 @@
 const ONE: BedTenant = {name: "one", apiKeys: ["key-1", "key-2"], priority: 1}
 const TWO: BedTenant = {name: "two", apiKeys: ["key-3"], priority: 0}
 
-/** How soon a configuration is in force, milliseconds. */
-const CONFIG_MS = 3_000
+/** Time within which all boxes apply a configuration. */
+const CONFIG_APPLIED_MS = 3_000
 
 const LIMIT = {perSecond: 1_000, burst: 1_000, windowS: 4, overage: 0.1}
 
-function first({boxes}: PlatformBed): BedBox {
+function firstBox({boxes}: PlatformBed): BedBox {
   return boxes[0] as BedBox
 }
 
-t.test("who has no key of an organisation is refused, and nothing runs", async t => {
+t.test("a request without a valid key is rejected and doesn't run", async t => {
   const bed = await PlatformBed.start({boxes: 2, engines: 1, tenants: [ONE, TWO]})
   t.teardown(() => bed.stop())
-  const box = first(bed)
+  const box = firstBox(bed)
   for (const key of [undefined, "", "key-9", ["key-1", "key-2"], "x".repeat(4_000)]) {
     const options = key === undefined ? {} : {key}
     const {id, status} = await bed.call(box, "/safe/x", options)
@@ -35,25 +35,30 @@
       headers: forged
     })
     t.equal(status, 200)
-    t.match(bed.judge.runsOf(id), [{tenant: "one"}], "whose key it is, whatever was said")
+    t.match(
+      bed.judge.runsOf(id),
+      [{tenant: "one"}],
+      "the tenant follows from the key, not from headers"
+    )
   }
   t.same(bed.judge.violations, [])
 })
 
-t.test("a key that is taken away lets nobody through any more", async t => {
+t.test("a revoked key is rejected by all boxes", async t => {
   const bed = await PlatformBed.start({boxes: 3, engines: 1, tenants: [ONE, TWO]})
   t.teardown(() => bed.stop())
   bed.tenants = [{...ONE, apiKeys: ["key-2"]}, TWO]
   bed.configure()
-  await sleep(CONFIG_MS)
+  await sleep(CONFIG_APPLIED_MS)
   for (const box of bed.boxes) {
     t.equal((await bed.call(box, "/safe/x", {key: "key-1"})).status, 401)
     t.equal((await bed.call(box, "/safe/x", {key: "key-2"})).status, 200)
   }
 })
 
-// Pattern: a box that hears of nothing while keys are taken away; no request shows it.
-t.test("a box that is cut off uses no key that may have been taken away", async t => {
+// Guards against a box that accepts a revoked key because it is cut off from the store,
+// which no request reveals.
+t.test("a box that is cut off accepts no key that may have been revoked", async t => {
   const bed = await PlatformBed.start({
     boxes: 1,
     engines: 1,
@@ -61,32 +66,32 @@
     tenants: [ONE]
   })
   t.teardown(() => bed.stop())
-  const box = first(bed)
+  const box = firstBox(bed)
   t.equal((await bed.call(box, "/safe/x", {key: "key-1"})).status, 200)
   bed.boxes[0]?.storeProxy?.set({blockUp: true, blockDown: true})
   bed.tenants = [{...ONE, apiKeys: ["key-2"]}]
   bed.configure()
-  const takenAt = performance.now()
-  const late: string[] = []
-  while (performance.now() - takenAt < KEY_MS + 2_500) {
+  const revokedAt = performance.now()
+  const lateRuns: string[] = []
+  while (performance.now() - revokedAt < KEY_MS + 2_500) {
     const sentAt = performance.now()
     const {id, status} = await bed.call(box, "/safe/x", {key: "key-1"})
-    if (sentAt - takenAt > KEY_MS && bed.judge.runsOf(id).length > 0) late.push(id)
-    if (sentAt - takenAt > KEY_MS) t.equal(status, 503, "refused as not run")
+    if (sentAt - revokedAt > KEY_MS && bed.judge.runsOf(id).length > 0) lateRuns.push(id)
+    if (sentAt - revokedAt > KEY_MS) t.equal(status, 503, "refused as not run")
     await sleep(100)
   }
-  t.same(late, [])
+  t.same(lateRuns, [])
   box.storeProxy?.set()
-  await until("the key is known to be gone", async () => {
+  await until("the revoked key is rejected", async () => {
     return (await bed.call(box, "/safe/x", {key: "key-1"})).status === 401
   })
-  await until("the other key is used again", async () => {
+  await until("the valid key is accepted again", async () => {
     return (await bed.call(box, "/safe/x", {key: "key-2"})).status === 200
   })
 })
 
-t.test("no more than its limit is used of an organisation, over all boxes", async t => {
-  const hot: BedTenant = {
+t.test("all boxes together don't exceed the limit of an organisation", async t => {
+  const limited: BedTenant = {
     ...ONE,
     unit: "tokens",
     plainTokens: 200,
@@ -96,7 +101,7 @@
   const bed = await PlatformBed.start({
     boxes: 3,
     engines: 1,
-    tenants: [hot, TWO],
+    tenants: [limited, TWO],
     usageWindowS: LIMIT.windowS
   })
   t.teardown(() => bed.stop())
@@ -117,19 +122,19 @@
     await sleep(30)
   }
   await Promise.all(calls)
-  const neighbour = await bed.call(first(bed), "/safe/x", {key: "key-3"})
+  const neighbour = await bed.call(firstBox(bed), "/safe/x", {key: "key-3"})
   t.equal(neighbour.status, 200, "another organisation is served")
   const limit = (LIMIT.perSecond * LIMIT.windowS + LIMIT.burst) * (1 + LIMIT.overage)
-  const used = mostUsed(bed, LIMIT.windowS * 1000)
+  const used = maxUsage(bed, LIMIT.windowS * 1000)
   t.ok(used <= limit, `${used} of ${limit}`)
   t.ok(used > 0.6 * limit, `${used} of ${limit}`)
   t.ok((statuses.get(429) ?? 0) > 100, JSON.stringify([...statuses]))
   t.ok(waits.every(wait => wait > 0 && wait < 10))
-  t.ok(new Set(waits).size > 5, "they do not all come back at once")
+  t.ok(new Set(waits).size > 5, "retry times are spread")
 })
 
-/** The most tokens that ran in any window. */
-function mostUsed(bed: PlatformBed, windowMs: number): number {
+/** Returns the maximum number of tokens that ran within any window. */
+function maxUsage(bed: PlatformBed, windowMs: number): number {
   const runs = bed.judge.runs.filter(({tenant}) => tenant === "one")
   const sums = runs.map(({reached}) =>
     runs
--- a/test/platform-many.test.ts
+++ b/test/platform-many.test.ts
@@ -1,9 +1,11 @@
-/** Many boxes: each asks for what it waits for, and reads a configuration that was named. */
+/**
+ * Many boxes: each requests the weights that it waits for, and reads a new configuration.
+ */
 import t from "tap"
 import {type BedBox, PlatformBed} from "./support/platform-bed.js"
 import {until} from "./support/wait.js"
 
-/** Past the number up to which a leader tells every box all it knows. */
+/** Above the number of boxes up to which a leader sends its full state to every box. */
 const BOXES = 18
 
 const LATER = {name: "later", pathPrefix: "/later/", kind: "safe", service: "plain"}
@@ -12,7 +14,7 @@
   return (await bed.call(box, path)).status === 200
 }
 
-t.test("many boxes serve weights that only the leader knows of", async t => {
+t.test("many boxes serve weights that only the leader has in its state", async t => {
   const bed = await PlatformBed.start({boxes: BOXES, engines: 3, plain: 1, proxied: true})
   t.teardown(() => bed.stop())
   await until("all boxes follow the leader", () => {
@@ -26,9 +28,9 @@
   const statuses = (await Promise.all(calls)).map(({status}) => status)
   t.same(new Set(statuses), new Set([200]))
 
-  const turnedAway = bed.boxes.find(box => box !== bed.leader()) as BedBox
-  turnedAway.storeProxy?.set({refuse: true})
-  turnedAway.storeProxy?.cut()
+  const disconnected = bed.boxes.find(box => box !== bed.leader()) as BedBox
+  disconnected.storeProxy?.set({refuse: true})
+  disconnected.storeProxy?.cut()
   bed.configure([{...LATER, maxAttempts: 1, targetLatencyMs: 200}])
   for (const box of bed.boxes) {
     await until(`${box.name} serves the new route`, () => serves(bed, box, "/later/x"))
