--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -53,9 +53,9 @@
   const long = calls.send(box, {tokens: 300, key: "letter", tag: "long"})
   await until("it runs", async () => (await calls.startsOf("long")).length > 0)
   engine.proxy.cut()
-  engine.proxy.set({refuse: true})
+  engine.proxy.setFaults({refuse: true})
   await until("the connection broke", () => box.entry.output.includes('"event":155'))
-  engine.proxy.set()
+  engine.proxy.setFaults()
   t.match(await long, {kind: "answered", tokens: 300})
   t.equal((await calls.startsOf("long")).length, 1, "it ran once")
   const other = deployment.models[1]
@@ -105,12 +105,12 @@
   const first = calls.send(box, {tokens: 300, signal: abort.signal, tag: "first"})
   await until("it runs", async () => (await calls.startsOf("first")).length > 0)
   // The engine does not learn that the caller has hung up, nor of the cancel.
-  engine.proxy.set({blockUp: true})
+  engine.proxy.setFaults({blockUp: true})
   abort.abort()
   await first
   const other = deployment.models[1]
   t.match(await calls.send(box, {model: other, deadlineMs: 700}), {outcome: "not-run"})
-  engine.proxy.set()
+  engine.proxy.setFaults()
   t.match(await calls.send(box, {model: other}), {kind: "answered"})
   t.notMatch(await calls.violations(), 'unloadedInUse":["')
 })
--- a/test/config.test.ts
+++ b/test/config.test.ts
@@ -80,13 +80,13 @@
     t.equal(settled.generation, 2, "read back by its operation id")
 
     // The change reaches the service, but all answers are blocked.
-    deployment.kv.proxy.set({blockDown: true})
+    deployment.kv.proxy.setFaults({blockDown: true})
     const operation = "operation-7"
     const body = {operation, records: description("open")}
     const open = await deployment.admin("POST", "/v1/changes", body).catch(error => error)
     t.match(open.code, /^(outcome-unknown|unavailable)$/)
     deployment.kv.proxy.cut()
-    deployment.kv.proxy.set()
+    deployment.kv.proxy.setFaults()
     const again = await until("the service is back", () =>
       deployment.admin("POST", "/v1/changes", body).catch(() => undefined)
     )
--- a/test/departures.test.ts
+++ b/test/departures.test.ts
@@ -38,12 +38,12 @@
 
 /** Answers nothing that the box asks the store. */
 function cutOff(box: BedBox): void {
-  box.storeProxy?.set({blockUp: true, blockDown: true})
+  box.storeProxy?.setFaults({blockUp: true, blockDown: true})
 }
 
 /** Closes whatever connection of the box to the store there is, and every new one. */
 function turnAway(box: BedBox): void {
-  box.storeProxy?.set({refuse: true})
+  box.storeProxy?.setFaults({refuse: true})
   box.storeProxy?.cut()
 }
 
@@ -79,7 +79,7 @@
   await sleep(2_000)
   worker.vanish()
   await callFor(bed, others, 1_500)
-  leader.storeProxy?.set()
+  leader.storeProxy?.setFaults()
   await callFor(bed, others, 2_500)
   t.ok(lastBeganMs(bed, worker) <= LIMIT_MS, `last ${lastBeganMs(bed, worker)} ms after`)
 })
--- a/test/foreign-entries.test.ts
+++ b/test/foreign-entries.test.ts
@@ -176,7 +176,7 @@
   )
   bed.store.writeBytes("op/other", Buffer.from([0xff, 0xfe]))
   bed.store.writeBytes("op/config", Buffer.from('{"version":99,"routes":7}'))
-  bed.bump("a3", 2)
+  bed.publishAdapterVersion("a3", 2)
   for (const box of bed.boxes) {
     await until("the version that can be read", async () => {
       const {id} = await bed.call(box, "/stream/x", {adapter: "a3"})
--- a/test/lease-help.test.ts
+++ b/test/lease-help.test.ts
@@ -18,7 +18,7 @@
     return (bed.logs().match(/"event":186,/g)?.length ?? 0) >= 2
   })
   const leader = bed.leader() as BedBox
-  leader.storeProxy?.set({refuse: true})
+  leader.storeProxy?.setFaults({refuse: true})
   leader.storeProxy?.cut()
   await until("other boxes renew its lease", () => /"event":188,/.test(bed.logs()))
   const from = performance.now()
@@ -30,7 +30,7 @@
   }
   t.same(statuses, new Set([200]), "weights that are not loaded are loaded all the time")
   t.notMatch(bed.logs(), /"event":185,/, "no box lost the leadership")
-  leader.storeProxy?.set({refuse: false})
+  leader.storeProxy?.setFaults({refuse: false})
   await until("it renews its lease again", () => /"event":189,/.test(bed.logs()))
   t.same(bed.judge.violations, [])
 })
--- a/test/lives.test.ts
+++ b/test/lives.test.ts
@@ -94,7 +94,7 @@
     plain.faults = {mute: true}
     const call = bed.call(box, "/unsafe/x", {body: "{}"})
     await new Promise(resolve => setTimeout(resolve, 200))
-    proxy.set({blockDown: true})
+    proxy.setFaults({blockDown: true})
     const restartedAt = performance.now()
     await plain.restart()
     const {status} = await call
--- a/test/ownership.test.ts
+++ b/test/ownership.test.ts
@@ -83,7 +83,7 @@
     if (!box) return
     const [first, second, third] = deployment.models
     await calls.send(box, {model: first})
-    deployment.kv.proxy.set({blockUp: true, blockDown: true})
+    deployment.kv.proxy.setFaults({blockUp: true, blockDown: true})
     await until("the lease expires", async () => {
       return !(await getJson(`http://${box.keeperOps}/state`)).holdsLease
     })
@@ -95,7 +95,7 @@
     )
     const refused = await calls.send(box, {model: third, deadlineMs: 600})
     t.match(refused, {kind: "refused", outcome: "not-run", retryAfter: "1"})
-    deployment.kv.proxy.set()
+    deployment.kv.proxy.setFaults()
     t.match(
       await calls.send(box, {model: third}),
       {kind: "answered"},
--- a/test/platform-keys.test.ts
+++ b/test/platform-keys.test.ts
@@ -1,7 +1,12 @@
 /** Keys and limits end to end: real boxes on the stand-in of the platform. */
 import {setTimeout as sleep} from "node:timers/promises"
 import t from "tap"
-import {type BedBox, type BedTenant, KEY_MS, PlatformBed} from "./support/platform-bed.js"
+import {
+  type BedBox,
+  type BedTenant,
+  KEY_REVOCATION_MS,
+  PlatformBed
+} from "./support/platform-bed.js"
 import {until} from "./support/wait.js"
 
 const ONE: BedTenant = {name: "one", apiKeys: ["key-1", "key-2"], priority: 1}
@@ -68,20 +73,21 @@
   t.teardown(() => bed.stop())
   const box = firstBox(bed)
   t.equal((await bed.call(box, "/safe/x", {key: "key-1"})).status, 200)
-  bed.boxes[0]?.storeProxy?.set({blockUp: true, blockDown: true})
+  bed.boxes[0]?.storeProxy?.setFaults({blockUp: true, blockDown: true})
   bed.tenants = [{...ONE, apiKeys: ["key-2"]}]
   bed.configure()
   const revokedAt = performance.now()
   const lateRuns: string[] = []
-  while (performance.now() - revokedAt < KEY_MS + 2_500) {
+  while (performance.now() - revokedAt < KEY_REVOCATION_MS + 2_500) {
     const sentAt = performance.now()
     const {id, status} = await bed.call(box, "/safe/x", {key: "key-1"})
-    if (sentAt - revokedAt > KEY_MS && bed.judge.runsOf(id).length > 0) lateRuns.push(id)
-    if (sentAt - revokedAt > KEY_MS) t.equal(status, 503, "refused as not run")
+    if (sentAt - revokedAt > KEY_REVOCATION_MS && bed.judge.runsOf(id).length > 0)
+      lateRuns.push(id)
+    if (sentAt - revokedAt > KEY_REVOCATION_MS) t.equal(status, 503, "refused as not run")
     await sleep(100)
   }
   t.same(lateRuns, [])
-  box.storeProxy?.set()
+  box.storeProxy?.setFaults()
   await until("the revoked key is rejected", async () => {
     return (await bed.call(box, "/safe/x", {key: "key-1"})).status === 401
   })
--- a/test/platform-many.test.ts
+++ b/test/platform-many.test.ts
@@ -29,7 +29,7 @@
   t.same(new Set(statuses), new Set([200]))
 
   const disconnected = bed.boxes.find(box => box !== bed.leader()) as BedBox
-  disconnected.storeProxy?.set({refuse: true})
+  disconnected.storeProxy?.setFaults({refuse: true})
   disconnected.storeProxy?.cut()
   bed.configure([{...LATER, maxAttempts: 1, targetLatencyMs: 200}])
   for (const box of bed.boxes) {
--- a/test/platform-path.test.ts
+++ b/test/platform-path.test.ts
@@ -39,7 +39,7 @@
     })
   }
 
-  bed.bump("a1", 2)
+  bed.publishAdapterVersion("a1", 2)
   await until("the new version", async () => {
     const {id} = await bed.call(box, "/stream/x", {adapter: "a1"})
     return bed.judge.runsOf(id).every(run => run.version === 2)
@@ -110,7 +110,7 @@
   const at = bed.engines.findIndex(({id: engineId}) => engineId === run?.worker)
   // Some events have to be out before the way back is silent.
   await new Promise(resolve => setTimeout(resolve, 300))
-  bed.workerProxies[at]?.set({blockDown: true})
+  bed.workerProxies[at]?.setFaults({blockDown: true})
   const {body, broken} = await call
   t.notOk(broken)
   t.equal(body, wholeStream(id, 20))
--- a/test/platform-soak-organisations.test.ts
+++ b/test/platform-soak-organisations.test.ts
@@ -2,6 +2,6 @@
  * A seeded round in which keys of callers are revoked and limits of organisations
  * lowered.
  */
-import {playSeeds} from "./support/soak-seeds.js"
+import {runSoakSeeds} from "./support/soak-seeds.js"
 
-playSeeds("organisation-seeds.json")
+runSoakSeeds("organisation-seeds.json")
--- a/test/platform-soak.test.ts
+++ b/test/platform-soak.test.ts
@@ -2,6 +2,6 @@
  * Seeded rounds of the fault soak: short ones, and ones that once failed. `npm run soak`
  * runs more.
  */
-import {playSeeds} from "./support/soak-seeds.js"
+import {runSoakSeeds} from "./support/soak-seeds.js"
 
-playSeeds("seeds.json")
+runSoakSeeds("seeds.json")
--- a/test/poison-requests.test.ts
+++ b/test/poison-requests.test.ts
@@ -8,7 +8,7 @@
 import t from "tap"
 import {crashingBody} from "./stand-ins/platform-worker.js"
 import {judgeCrashes} from "./support/judge-crashes.js"
-import {passOverIfRed} from "./support/known-red.js"
+import {passIfKnownRed} from "./support/known-red.js"
 import {type BedBox, PlatformBed} from "./support/platform-bed.js"
 
 /** Between two tries of the caller, milliseconds. */
@@ -55,7 +55,7 @@
   bed.restartBox(leader)
 }
 
-if (!passOverIfRed("poison-requests")) playAll()
+if (!passIfKnownRed("poison-requests")) playAll()
 
 function playAll(): void {
   const MOMENTS = ["before-head", "in-stream", "after-end"] as const
--- a/test/server-notices.test.ts
+++ b/test/server-notices.test.ts
@@ -14,7 +14,7 @@
   type NoticedCall,
   type NoticeRecord
 } from "./support/judge-notices.js"
-import {passOverIfRed} from "./support/known-red.js"
+import {passIfKnownRed} from "./support/known-red.js"
 import {type BedBox, type Outcome, PlatformBed} from "./support/platform-bed.js"
 import {until} from "./support/wait.js"
 
@@ -61,7 +61,7 @@
   }
 }
 
-if (!passOverIfRed("server-notices")) playAll()
+if (!passIfKnownRed("server-notices")) playAll()
 
 function playAll(): void {
   t.test(
--- a/test/server-rates.test.ts
+++ b/test/server-rates.test.ts
@@ -9,7 +9,7 @@
 import type {StandInWorker} from "./stand-ins/platform-worker.js"
 import {judgeRates} from "./support/judge-rates.js"
 import type {NoticedCall} from "./support/judge-notices.js"
-import {passOverIfRed} from "./support/known-red.js"
+import {passIfKnownRed} from "./support/known-red.js"
 import {
   type BedBox,
   type BedOptions,
@@ -78,7 +78,7 @@
   }
 }
 
-if (!passOverIfRed("server-rates")) playAll()
+if (!passIfKnownRed("server-rates")) playAll()
 
 /** The steps of a request, from the logs alone. */
 function explain(logs: string, request: string): string[] {
--- a/test/soak-judge.test.ts
+++ b/test/soak-judge.test.ts
@@ -55,7 +55,7 @@
 
 t.test("the deadline restarts after a fault of the store", async t => {
   const record = createRecord({2: 1_000})
-  record.trouble.add(2_000, 4_000)
+  record.storeFaults.add(2_000, 4_000)
   t.same(reportedVersions(record, createJudge(1, 3_000)), [])
   t.same(reportedVersions(record, createJudge(1, 11_999)), [])
   t.same(reportedVersions(record, createJudge(1, 12_001)), [2])
@@ -65,8 +65,8 @@
   "faults of the store before a publication or after a run have no effect",
   async t => {
     const record = createRecord({2: 1_000})
-    record.trouble.add(0, 999)
-    record.trouble.add(7_000, Infinity)
+    record.storeFaults.add(0, 999)
+    record.storeFaults.add(7_000, Infinity)
     t.same(reportedVersions(record, createJudge(1, 6_001)), [2])
     t.same(reportedVersions(record, createJudge(1, 7_001)), [])
   }
@@ -78,7 +78,7 @@
  */
 function isReportedLate(record: SoakRecord, reached: number): boolean {
   const judge = createJudge(1, reached + 900)
-  record.gone.push({id: "i-1", drainedAt: 1_000})
+  record.replacedEngines.push({id: "i-1", drainedAt: 1_000})
   return judgeRound(judge, record).length > 0
 }
 
@@ -88,7 +88,7 @@
     t.notOk(isReportedLate(createRecord({}), 3_499))
     t.ok(isReportedLate(createRecord({}), 3_501))
     const later = createRecord({})
-    later.trouble.add(3_600, 9_000)
+    later.storeFaults.add(3_600, 9_000)
     t.ok(isReportedLate(later, 3_550))
     t.ok(isReportedLate(later, 5_000))
   }
@@ -96,8 +96,8 @@
 
 t.test("the deadline of a departure restarts after a fault of the store", async t => {
   const record = createRecord({})
-  record.trouble.add(500, 2_000)
-  record.trouble.add(3_000, 4_000)
+  record.storeFaults.add(500, 2_000)
+  record.storeFaults.add(3_000, 4_000)
   t.notOk(isReportedLate(record, 6_499))
   t.ok(isReportedLate(record, 6_501))
 })
--- a/test/store-era.test.ts
+++ b/test/store-era.test.ts
@@ -61,10 +61,10 @@
   t.teardown(() => bed.stop())
   t.ok(await isServed(bed, "a1"))
   await sleep(1_000)
-  bed.bump("a1", 2)
+  bed.publishAdapterVersion("a1", 2)
   await sleep(1_200)
   t.ok(await isServed(bed, "a1"))
-  const returned = (): void => bed.bump("a1", 3)
+  const returned = (): void => bed.publishAdapterVersion("a1", 3)
   await bed.store.drill({copyAgeMs: 1_400, awayMs: 100, returned})
   await until("a request runs on version 3", async () => {
     await isServed(bed, "a1")
@@ -89,7 +89,7 @@
   await sleep(1_500)
   // No box reads it before the store goes away.
   bed.store.faults = {deaf: true}
-  bed.bump("a1", 2)
+  bed.publishAdapterVersion("a1", 2)
   const namedAt = performance.now()
   await bed.store.drill({copyAgeMs: 1_000, awayMs: 300})
   await sleep(namedAt + 3_000 - performance.now())
--- a/test/support/chaos-round.ts
+++ b/test/support/chaos-round.ts
@@ -40,16 +40,16 @@
     name: "kv-outage",
     lastsMs: LONG_FAULT_MS,
     begin: async ({kv}) => {
-      kv.proxy.set({blockUp: true, blockDown: true})
-      return () => kv.proxy.set()
+      kv.proxy.setFaults({blockUp: true, blockDown: true})
+      return () => kv.proxy.setFaults()
     }
   },
   {
     name: "kv-one-way",
     lastsMs: SHORT_FAULT_MS,
     begin: async ({kv}) => {
-      kv.proxy.set({blockDown: true})
-      return () => kv.proxy.set()
+      kv.proxy.setFaults({blockDown: true})
+      return () => kv.proxy.setFaults()
     }
   },
   {name: "kv-lost-answers", lastsMs: SHORT_FAULT_MS, begin: kvFault({loseAnswers: 5})},
@@ -68,8 +68,8 @@
     lastsMs: LONG_FAULT_MS,
     begin: async ({boxes}, pick) => {
       const {keeperProxy} = pick(boxes)
-      keeperProxy.set(pick([{blockUp: true}, {blockDown: true}, {delayMs: 100}]))
-      return () => keeperProxy.set()
+      keeperProxy.setFaults(pick([{blockUp: true}, {blockDown: true}, {delayMs: 100}]))
+      return () => keeperProxy.setFaults()
     }
   },
   {
@@ -78,8 +78,8 @@
     begin: async ({engines}, pick) => {
       const {proxy} = pick(engines)
       if (pick([true, false])) proxy.cut()
-      else proxy.set(pick([{blockUp: true}, {blockDown: true}]))
-      return () => proxy.set()
+      else proxy.setFaults(pick([{blockUp: true}, {blockDown: true}]))
+      return () => proxy.setFaults()
     }
   },
   {
--- a/test/support/fault-proxy.ts
+++ b/test/support/fault-proxy.ts
@@ -50,7 +50,7 @@
   }
 
   /** Replaces the active faults. Without an argument, clears them. */
-  set(faults: ProxyFaults = {}): void {
+  setFaults(faults: ProxyFaults = {}): void {
     this.faults_ = faults
     for (const direction of this.directions_) this.flush(direction)
   }
--- a/test/support/known-red.ts
+++ b/test/support/known-red.ts
@@ -8,7 +8,7 @@
  * Whether KNOWN-RED.txt has an entry for the test (its name and a colon). If so, records
  * a pass that says so.
  */
-export function passOverIfRed(name: string): boolean {
+export function passIfKnownRed(name: string): boolean {
   if (!list.includes(`${name}:`)) return false
   t.pass(`known to be red, passed over: ${name}`)
   return true
--- a/test/support/platform-bed.ts
+++ b/test/support/platform-bed.ts
@@ -18,7 +18,7 @@
 const HOST = "callers.example"
 
 /** Time within which every box must reject a revoked key. */
-export const KEY_MS = 5_000
+export const KEY_REVOCATION_MS = 5_000
 
 /** Characters at the end of the boxes' output that a failed start reports. */
 const MAX_REPORTED_CHARACTERS = 6_000
@@ -198,7 +198,7 @@
       },
       orders: {checksFences: true, leaseMs: 3000},
       ...this.processorSettings(index),
-      keys: {takenAwayMs: KEY_MS},
+      keys: {takenAwayMs: KEY_REVOCATION_MS},
       usage: {windowS: this.options_.usageWindowS ?? 8, overage: 0.1, slack: 0},
       graceS: 8,
       retry: {ratio: 0.2, slack: 60, windowS: 10},
@@ -377,7 +377,7 @@
   }
 
   /** Publishes a new version of an adapter. */
-  bump(adapter: string, version: number): void {
+  publishAdapterVersion(adapter: string, version: number): void {
     this.versions.set(adapter, version)
     this.store.write(`op/version/${MODEL}.${adapter}`, {model: MODEL, adapter, version})
   }
--- a/test/support/platform-soak.ts
+++ b/test/support/platform-soak.ts
@@ -9,7 +9,7 @@
 import {SoakOrganisations, USAGE_WINDOW_S} from "./soak-organisations.js"
 import {judgeIncidents} from "./soak-judge-incidents.js"
 import {judgeRound} from "./soak-judge.js"
-import {countPromised, judgeService} from "./soak-judge-service.js"
+import {countGuaranteedCalls, judgeService} from "./soak-judge-service.js"
 import {type SoakCall, SoakDraws, SoakRecord} from "./soak-record.js"
 import {until} from "./wait.js"
 
@@ -102,7 +102,7 @@
       this.violations_.push(...judgeIncidents(bed.judge, this.record_))
       if (!organisations) {
         this.violations_.push(...judgeService(this.record_))
-        this.notes_.push(`promised ${countPromised(this.record_)}`)
+        this.notes_.push(`promised ${countGuaranteedCalls(this.record_)}`)
       } else {
         this.violations_.push(
           ...judgeOrganisations(bed.judge, this.record_, organisations)
--- a/test/support/soak-drill-faults.ts
+++ b/test/support/soak-drill-faults.ts
@@ -90,10 +90,10 @@
       rewriteMs: this.drawFrom(REWRITE_DELAY_MS),
       reversed: this.draws_.draw() < 0.5
     }
-    this.record_.trouble.begin()
+    this.record_.storeFaults.begin()
     const returned = (): void => {
-      this.record_.rises.push(performance.now())
-      this.record_.trouble.end()
+      this.record_.restores.push(performance.now())
+      this.record_.storeFaults.end()
     }
     await this.bed_.store.drill({...drill, returned})
     this.isDrilling_ = false
--- a/test/support/soak-faults.ts
+++ b/test/support/soak-faults.ts
@@ -107,9 +107,9 @@
     for (const box of this.bed_.boxes) this.bed_.resume(box)
     const {store, workerProxies, boxes} = this.bed_
     store.faults = {}
-    for (const proxy of workerProxies) proxy.set()
+    for (const proxy of workerProxies) proxy.setFaults()
     for (const {storeProxy, child} of boxes) {
-      storeProxy?.set()
+      storeProxy?.setFaults()
       child.signal("SIGCONT")
     }
     for (const worker of this.workers()) worker.faults = {}
@@ -246,13 +246,13 @@
     if (box.child.ended) return
     const {child} = box
     this.bed_.resume(box)
-    this.record_.excuse(box.name)
+    this.record_.exempt(box.name)
     child.signal("SIGCONT")
     if (signal === "SIGKILL") await child.end(signal)
     else child.signal(signal)
     void until("the box ended", () => child.ended).then(() => {
       if (box.child !== child || this.over) return
-      this.record_.excuse(box.name)
+      this.record_.exempt(box.name)
       this.bed_.restartBox(box)
       this.excuseStart(box)
     })
@@ -265,7 +265,7 @@
   private excuseStart(box: BedBox): void {
     const {child} = box
     const isListening = (): boolean => child.ended || child.output.includes(LISTENING_LOG)
-    const excuse = (): void => this.record_.excuse(box.name)
+    const excuse = (): void => this.record_.exempt(box.name)
     void until("the box listens", isListening).then(excuse, excuse)
   }
 
@@ -290,39 +290,39 @@
     if (box.suspendedFrom !== undefined) return
     const {child} = box
     this.stoppedBoxes_.add(box)
-    this.record_.excuse(box.name)
+    this.record_.exempt(box.name)
     child.signal("SIGSTOP")
     setTimeout(() => {
       this.stoppedBoxes_.delete(box)
-      this.record_.excuse(box.name)
+      this.record_.exempt(box.name)
       child.signal("SIGCONT")
     }, ms)
   }
 
   private storeFault(faults: PlatformBed["store"]["faults"]): void {
-    this.record_.trouble.begin()
+    this.record_.storeFaults.begin()
     this.bed_.store.faults = faults
     setTimeout(
       () => {
         this.bed_.store.faults = {}
-        this.record_.trouble.end()
+        this.record_.storeFaults.end()
       },
       500 + 2_500 * this.draws_.draw()
     )
   }
 
   private cutFromStore({name, storeProxy: proxy}: BedBox): void {
-    this.record_.excuse(name)
-    proxy?.set(
+    this.record_.exempt(name)
+    proxy?.setFaults(
       this.draws_.draw() < 0.5 ? {blockUp: true, blockDown: true} : {blockDown: true}
     )
-    setTimeout(() => proxy?.set(), 500 + 3_000 * this.draws_.draw())
+    setTimeout(() => proxy?.setFaults(), 500 + 3_000 * this.draws_.draw())
   }
 
   private silenceWorker(): void {
     const proxy = this.draws_.pick(this.bed_.workerProxies)
-    proxy.set({blockDown: true})
-    setTimeout(() => proxy.set(), 300 + 1_500 * this.draws_.draw())
+    proxy.setFaults({blockDown: true})
+    setTimeout(() => proxy.setFaults(), 300 + 1_500 * this.draws_.draw())
   }
 
   private workerFault(faults: StandInWorker["faults"]): void {
@@ -335,7 +335,7 @@
     await this.bed_.addEngine()
     const [oldest] = this.bed_.engines.splice(0, 1)
     if (!oldest) return
-    this.record_.gone.push(oldest)
+    this.record_.replacedEngines.push(oldest)
     if (!planned) return oldest.stop()
     oldest.drain()
     setTimeout(() => oldest.stop(), 4_000)
@@ -348,7 +348,7 @@
   /** Publishes the next version of an adapter. */
   private publishVersion(adapter: string): void {
     const version = (this.bed_.versions.get(adapter) ?? 1) + 1
-    this.bed_.bump(adapter, version)
+    this.bed_.publishAdapterVersion(adapter, version)
     this.record_.versions.push({adapter, version, at: performance.now()})
   }
 }
--- a/test/support/soak-incident-faults.ts
+++ b/test/support/soak-incident-faults.ts
@@ -125,8 +125,8 @@
   private suspend(box: BedBox | undefined): void {
     const ms = this.drawFrom(SUSPENDED_MS)
     if (!box || box.child.ended || this.actions_.isHeld(box)) return
-    this.record_.excuse(box.name)
-    void this.bed_.suspend(box, ms).then(() => this.record_.excuse(box.name))
+    this.record_.exempt(box.name)
+    void this.bed_.suspend(box, ms).then(() => this.record_.exempt(box.name))
   }
 
   private drawFrom({least, most}: Range): number {
--- a/test/support/soak-judge-incidents.ts
+++ b/test/support/soak-judge-incidents.ts
@@ -30,18 +30,18 @@
   }
   const isConnected = (id: string, at: number): boolean => {
     const box = calls.get(id)?.box
-    const hadFault = record.excuses.some(
+    const hadFault = record.exemptions.some(
       exemption =>
         exemption.box === box && exemption.at <= at && at - exemption.at < CONNECTED_MS
     )
-    const healthySince = record.trouble.wellSince(at) ?? Infinity
+    const healthySince = record.storeFaults.healthySince(at) ?? Infinity
     return !hadFault && at - healthySince >= CONNECTED_MS
   }
-  const exemptions = [...record.excuses, ...linkFaultExemptions(record)]
+  const exemptions = [...record.exemptions, ...linkFaultExemptions(record)]
   return [
     ...judgeCrashes(judge, ({id, at}) => isConnected(id, at)),
     ...judgeNotices(judge, {calls, exemptions, restarts: judge.reborn}),
-    ...judgeRates(judge, {calls, exemptions: record.excuses, restarts: judge.reborn}),
+    ...judgeRates(judge, {calls, exemptions: record.exemptions, restarts: judge.reborn}),
     ...record.crashing.flatMap(call => judgeCrashingCall(judge, call))
   ]
 }
--- a/test/support/soak-judge-organisations.ts
+++ b/test/support/soak-judge-organisations.ts
@@ -1,6 +1,6 @@
 /** Checks API keys and usage limits in a soak round. */
 import type {Judge, Run} from "../stand-ins/platform-judge.js"
-import {KEY_MS} from "./platform-bed.js"
+import {KEY_REVOCATION_MS} from "./platform-bed.js"
 import {
   type SetLimit,
   type SoakOrganisations,
@@ -50,7 +50,7 @@
   const other = runs.find(({tenant}) => tenant !== owner)
   if (other) return [`${id} of ${owner} ran for ${other.tenant ?? "nobody"}`]
   const revokedAt = organisations.takenAt(key)
-  if (revokedAt === undefined || sentAt <= revokedAt + KEY_MS) return []
+  if (revokedAt === undefined || sentAt <= revokedAt + KEY_REVOCATION_MS) return []
   return [
     `${id} ran, sent ${Math.round(sentAt - revokedAt)} ms after its key was taken away`
   ]
--- a/test/support/soak-judge-service.ts
+++ b/test/support/soak-judge-service.ts
@@ -62,7 +62,7 @@
 }
 
 /** Returns the number of calls that must have been served. */
-export function countPromised(record: SoakRecord): number {
+export function countGuaranteedCalls(record: SoakRecord): number {
   return record.calls.filter(call => mustBeServed(record, call)).length
 }
 
@@ -77,7 +77,7 @@
 }
 
 function isExemptWithin(
-  {excuses: exemptions}: SoakRecord,
+  {exemptions}: SoakRecord,
   box: string,
   from: number,
   to: number
@@ -92,7 +92,7 @@
  * servers yet. A further restore before the confirmation starts the wait again.
  */
 function hasUnconfirmedServers(
-  {excuses: exemptions, rises: restores}: SoakRecord,
+  {exemptions, restores}: SoakRecord,
   box: string,
   sentAt: number
 ): boolean {
--- a/test/support/soak-judge.ts
+++ b/test/support/soak-judge.ts
@@ -3,7 +3,7 @@
  */
 import type {Judge, Run} from "../stand-ins/platform-judge.js"
 import {wholeStream} from "./whole-stream.js"
-import type {LeftEngine, SoakCall, SoakRecord, SoakVersion} from "./soak-record.js"
+import type {ReplacedEngine, SoakCall, SoakRecord, SoakVersion} from "./soak-record.js"
 
 /**
  * A leaving server gets no new work after this time of a healthy store (margin included).
@@ -20,7 +20,7 @@
 export function judgeRound(judge: Judge, record: SoakRecord): string[] {
   return [
     ...record.calls.flatMap(call => judgeCall(judge.runsOf(call.outcome.id), call)),
-    ...record.gone.flatMap(worker => judgeLeaving(judge, record, worker)),
+    ...record.replacedEngines.flatMap(worker => judgeLeaving(judge, record, worker)),
     ...record.versions.flatMap(published => judgeVersion(judge, record, published)),
     ...judge.violations
   ]
@@ -42,7 +42,11 @@
   return violations
 }
 
-function judgeLeaving(judge: Judge, record: SoakRecord, worker: LeftEngine): string[] {
+function judgeLeaving(
+  judge: Judge,
+  record: SoakRecord,
+  worker: ReplacedEngine
+): string[] {
   const {drainedAt} = worker
   if (drainedAt === undefined) return []
   const late = judge.runs.find(
@@ -59,12 +63,8 @@
 /**
  * Judges when a request reached the server, as it may have waited there before it ran.
  */
-function isLate(
-  {trouble: storeFaults}: SoakRecord,
-  reached: number,
-  drainedAt: number
-): boolean {
-  return storeFaults.longestWell(drainedAt, reached) > DRAIN_DEADLINE_MS
+function isLate({storeFaults}: SoakRecord, reached: number, drainedAt: number): boolean {
+  return storeFaults.longestHealthyMs(drainedAt, reached) > DRAIN_DEADLINE_MS
 }
 
 /** Judges each published version separately: a newer one doesn't extend its deadline. */
@@ -81,7 +81,7 @@
 function isOutdated(record: SoakRecord, run: Run, published: SoakVersion): boolean {
   const {adapter, version, at} = published
   if (run.adapter !== adapter || run.version >= version || run.at < at) return false
-  const since = record.trouble.wellSince(run.at)
+  const since = record.storeFaults.healthySince(run.at)
   if (since === undefined) return false
   // After a store fault since the publication, the deadline counts from stability on.
   const from = since > at ? since + STORE_STABLE_MS : at
--- a/test/support/soak-record.ts
+++ b/test/support/soak-record.ts
@@ -26,7 +26,7 @@
  * An engine that was replaced, and when it announced that it leaves. `drainedAt` is
  * undefined if it crashed.
  */
-export type LeftEngine = Pick<StandInWorker, "id" | "drainedAt">
+export type ReplacedEngine = Pick<StandInWorker, "id" | "drainedAt">
 
 /** Random choices drawn from a seed. */
 export class SoakDraws {
@@ -53,7 +53,7 @@
 }
 
 /** Periods in which the store had a fault. */
-export class StoreTrouble {
+export class StoreFaultPeriods {
   private readonly periods_: {readonly from: number; to: number}[] = []
 
   add(from: number, to: number): void {
@@ -70,7 +70,7 @@
   }
 
   /** Returns the longest time without a store fault between two times. */
-  longestWell(from: number, to: number): number {
+  longestHealthyMs(from: number, to: number): number {
     let longest = 0
     let healthyFrom = from
     for (const period of [...this.periods_].sort((a, b) => a.from - b.from)) {
@@ -84,7 +84,7 @@
    * Returns since when the store had been healthy at a time. Undefined if it had a fault
    * at that time.
    */
-  wellSince(at: number): number | undefined {
+  healthySince(at: number): number | undefined {
     const before = this.periods_.filter(({from}) => from <= at)
     const since = Math.max(-Infinity, ...before.map(({to}) => to))
     return since > at ? undefined : since
@@ -103,17 +103,17 @@
   readonly calls: SoakCall[] = []
   readonly crashing: CrashingCall[] = []
   /** When boxes were restarted, suspended, disconnected or removed. */
-  readonly excuses: {readonly box: string; readonly at: number}[] = []
-  readonly trouble = new StoreTrouble()
+  readonly exemptions: {readonly box: string; readonly at: number}[] = []
+  readonly storeFaults = new StoreFaultPeriods()
   /** When the store was restored from an older backup. */
-  readonly rises: number[] = []
+  readonly restores: number[] = []
   readonly versions: SoakVersion[] = []
-  readonly gone: LeftEngine[] = []
+  readonly replacedEngines: ReplacedEngine[] = []
   readonly faults: {readonly name: string; readonly at: number}[] = []
 
   /** Records that a box is restarted, suspended, disconnected or removed. */
-  excuse(box: string): void {
-    this.excuses.push({box, at: performance.now()})
+  exempt(box: string): void {
+    this.exemptions.push({box, at: performance.now()})
   }
 
   /** Returns the faults that began between two times, each as `name+ms since from`. */
--- a/test/support/soak-seeds.ts
+++ b/test/support/soak-seeds.ts
@@ -3,7 +3,7 @@
 import {tmpdir} from "node:os"
 import {join} from "node:path"
 import t from "tap"
-import {passOverIfRed} from "./known-red.js"
+import {passIfKnownRed} from "./known-red.js"
 import {runSoakRound, type SoakOptions} from "./platform-soak.js"
 
 interface SoakSeed extends SoakOptions {
@@ -19,10 +19,10 @@
 }
 
 /** Runs each seed of a file in `test/soak` as a test of its own. */
-export function playSeeds(file: string): void {
+export function runSoakSeeds(file: string): void {
   const seeds = new URL(`../../../test/soak/${file}`, import.meta.url)
   for (const seed of JSON.parse(readFileSync(seeds, "utf8")) as SoakSeed[]) {
-    if (passOverIfRed(`soak seed ${seed.seed}`)) continue
+    if (passIfKnownRed(`soak seed ${seed.seed}`)) continue
     t.test(`invariants hold under the faults of seed ${seed.seed}`, async t => {
       t.comment(seed.for)
       const {violations, calls, served, faults, logs} = await runSoakRound(seed)
--- a/test/suspensions.test.ts
+++ b/test/suspensions.test.ts
@@ -7,8 +7,8 @@
 import {setTimeout as sleep} from "node:timers/promises"
 import t from "tap"
 import type {StandInWorker} from "./stand-ins/platform-worker.js"
-import {passOverIfRed} from "./support/known-red.js"
-import {type BedBox, KEY_MS, PlatformBed} from "./support/platform-bed.js"
+import {passIfKnownRed} from "./support/known-red.js"
+import {type BedBox, KEY_REVOCATION_MS, PlatformBed} from "./support/platform-bed.js"
 import {until} from "./support/wait.js"
 
 /** How long a leaving server may still be sent requests. */
@@ -17,7 +17,7 @@
 /** Interval between the requests of a caller. */
 const PAUSE_MS = 40
 
-if (!passOverIfRed("suspensions")) playAll()
+if (!passIfKnownRed("suspensions")) playAll()
 
 function followerOf(bed: PlatformBed): BedBox {
   return bed.boxes.find(box => box !== bed.leader()) as BedBox
@@ -106,13 +106,13 @@
       const [box] = bed.boxes as [BedBox]
       t.equal((await bed.call(box, "/safe/x", {key: "key-1"})).status, 200)
       // Its snapshot of the store is not refreshed any more.
-      box.storeProxy?.set({blockUp: true, blockDown: true})
+      box.storeProxy?.setFaults({blockUp: true, blockDown: true})
       bed.tenants = [{...tenant, apiKeys: ["key-2"]}]
       bed.configure()
       const takenAt = performance.now()
-      await bed.suspend(box, KEY_MS + 500)
+      await bed.suspend(box, KEY_REVOCATION_MS + 500)
       const late: string[] = []
-      while (performance.now() - takenAt < KEY_MS + 2_500) {
+      while (performance.now() - takenAt < KEY_REVOCATION_MS + 2_500) {
         const {id} = await bed.call(box, "/safe/x", {key: "key-1", deadlineMs: 1_000})
         if (bed.judge.runsOf(id).length > 0) late.push(id)
         await sleep(100)
--- a/test/versions-links.test.ts
+++ b/test/versions-links.test.ts
@@ -95,12 +95,14 @@
   t.teardown(() => proxy.close())
   // Little by little, as on a link whose queue grows: neither end misses a message.
   for (let delayMs = STEP_MS; delayMs <= DELAY_MS; delayMs += STEP_MS) {
-    proxy.set({delayMs})
+    proxy.setFaults({delayMs})
     await sleep(2 * STEP_MS)
   }
   let measured: Measured | undefined
   for (let i = 1; !measured && i <= MOST_AGAIN; i++) {
-    measured = await measure(box, `a${i}`, async () => bed.bump(`a${i}`, 2))
+    measured = await measure(box, `a${i}`, async () =>
+      bed.publishAdapterVersion(`a${i}`, 2)
+    )
   }
   if (!measured) return t.fail("the time of day stepped in every measurement")
   const {lateMs, ageMs} = measured
@@ -119,7 +121,7 @@
     frozen.child.signal("SIGSTOP")
     await sleep(NAMED_AFTER_MS)
     const measured = await measure(frozen, `a${i}`, async () => {
-      bed.bump(`a${i}`, 2)
+      bed.publishAdapterVersion(`a${i}`, 2)
       await sleep(STILL_MS - NAMED_AFTER_MS)
       frozen.child.signal("SIGCONT")
     })
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -126,7 +126,7 @@
   })
   const running = bed.call(box, "/stream/x", {adapter: "a1", body: "{}"})
   await until("it runs", () => bed.judge.runs.length === 1)
-  bed.bump("a1", 2)
+  bed.publishAdapterVersion("a1", 2)
   const namedAt = performance.now()
   worker.faults = {queueMs: 5_500}
   const options = {adapter: "a1", body: "{}", deadlineMs: 9_000}
