--- a/test/support/platform-soak.ts
+++ b/test/support/platform-soak.ts
@@ -110,7 +110,7 @@
       }
       logs = bed.logs()
     } finally {
-      faults.over = true
+      faults.hasDeploymentEnded = true
       await bed.stop()
     }
     return this.toResult(logs)
@@ -126,7 +126,7 @@
       bed.tenants = tenants
       bed.configure()
     })
-    this.organisations_.open()
+    this.organisations_.enable()
     return this.organisations_
   }
 
@@ -143,11 +143,11 @@
     try {
       if (script) await this.playScript(faults, script)
       while (performance.now() < end) {
-        if (!script) await faults.disturb()
+        if (!script) await faults.injectRandom()
         await pause(FAULT_MS * (0.3 + this.draws_.draw()))
       }
-      faults.calm()
-      this.organisations_?.calm()
+      faults.endFaults()
+      this.organisations_?.restoreLimits()
       await this.awaitRecovery(bed)
     } finally {
       clearInterval(callTimer)
@@ -167,7 +167,7 @@
     for (const [position, [name, at]] of script.entries()) {
       await pause(Math.max(0, startedAt + at - performance.now()))
       this.draws_.restart(this.options_.seed + position)
-      await faults.play(name)
+      await faults.injectNamed(name)
     }
   }
 
@@ -216,7 +216,7 @@
     const isServed = async (): Promise<boolean> => {
       for (const box of bed.boxes) {
         if (box.child.ended) return false
-        const key = this.organisations_ ? {key: this.organisations_.heldKey} : {}
+        const key = this.organisations_ ? {key: this.organisations_.validKey} : {}
         const plain = await bed.call(box, "/safe/x", key)
         const stream = await bed.call(box, "/stream/x", {...key, adapter: "a0"})
         if (plain.status !== 200 || stream.status !== 200) return false
--- a/test/support/soak-drill-faults.ts
+++ b/test/support/soak-drill-faults.ts
@@ -26,14 +26,14 @@
 }
 
 /** Actions of the other kinds of faults, used in series with those of this file. */
-export interface SoakActions {
-  readonly nameVersion: () => void
+export interface DrillActions {
+  readonly publishVersion: () => void
   readonly queueAll: () => void
   readonly kill: (box: BedBox) => unknown
   readonly freeze: (box: BedBox) => void
   readonly cutFromStore: (box: BedBox) => void
   readonly replaceEngine: () => unknown
-  readonly isCalm: () => boolean
+  readonly haveFaultsEnded: () => boolean
 }
 
 export class DrillFaults {
@@ -43,7 +43,7 @@
     private readonly bed_: PlatformBed,
     private readonly draws_: SoakDraws,
     private readonly record_: SoakRecord,
-    private readonly actions_: SoakActions
+    private readonly actions_: DrillActions
   ) {}
 
   /**
@@ -51,7 +51,7 @@
    * meanwhile.
    */
   drills(): Readonly<Record<string, () => unknown>> {
-    const {nameVersion: publishVersion, kill, replaceEngine, cutFromStore} = this.actions_
+    const {publishVersion, kill, replaceEngine, cutFromStore} = this.actions_
     return {
       drill: () => void this.drill(),
       "drill-after-version": () => this.drillAfter(publishVersion),
@@ -66,7 +66,7 @@
   }
 
   /** Versions and configurations published while the leader changes and engines queue. */
-  leads(): Readonly<Record<string, () => unknown>> {
+  leaderChanges(): Readonly<Record<string, () => unknown>> {
     const {kill, freeze, cutFromStore} = this.actions_
     return {
       "version-as-leader-dies": () => this.publishAround(() => kill(this.leader())),
@@ -102,22 +102,23 @@
   private drillAfter(action: () => unknown): void {
     const afterMs = this.drawFrom(GAP_MS)
     action()
-    setTimeout(() => this.actions_.isCalm() || void this.drill(), afterMs)
+    setTimeout(() => this.actions_.haveFaultsEnded() || void this.drill(), afterMs)
   }
 
   private drillBefore(action: () => unknown): void {
     const afterMs = this.drawFrom(GAP_MS)
-    const act = (): unknown => this.actions_.isCalm() || action()
+    const act = (): unknown => this.actions_.haveFaultsEnded() || action()
     void this.drill().then(() => setTimeout(act, afterMs))
   }
 
   private publishAround(action: () => unknown): void {
     this.actions_.queueAll()
     for (const step of [action, () => this.bed_.configure()]) {
-      setTimeout(() => this.actions_.isCalm() || step(), this.drawFrom(GAP_MS))
+      setTimeout(() => this.actions_.haveFaultsEnded() || step(), this.drawFrom(GAP_MS))
     }
     for (let i = 0; i < 2; i++) {
-      const publish = (): unknown => this.actions_.isCalm() || this.actions_.nameVersion()
+      const publish = (): unknown =>
+        this.actions_.haveFaultsEnded() || this.actions_.publishVersion()
       setTimeout(publish, this.drawFrom(GAP_MS))
     }
   }
--- a/test/support/soak-faults.ts
+++ b/test/support/soak-faults.ts
@@ -10,7 +10,7 @@
 import {IncidentFaults} from "./soak-incident-faults.js"
 import {RateFaults} from "./soak-rate-faults.js"
 import {DrillFaults} from "./soak-drill-faults.js"
-import {NAMED_ADAPTERS, VersionFaults} from "./soak-version-faults.js"
+import {VERSIONED_ADAPTER_COUNT, VersionFaults} from "./soak-version-faults.js"
 import {until} from "./wait.js"
 
 /** Step by which the clock of a server goes back before it restarts. */
@@ -53,7 +53,7 @@
 
 export class SoakFaults {
   /** Whether the deployment has ended, after which no box is restarted. */
-  over = false
+  hasDeploymentEnded = false
   private haveFaultsEnded_ = false
   /** Boxes whose processes are stopped by SIGSTOP. */
   private readonly stoppedBoxes_ = new Set<BedBox>()
@@ -72,13 +72,13 @@
     const haveFaultsEnded = (): boolean => this.haveFaultsEnded_
     this.versionFaults_ = new VersionFaults(bed_, draws_, publish, haveFaultsEnded)
     this.drillFaults_ = new DrillFaults(bed_, draws_, record_, {
-      nameVersion: () => this.publishRandomVersion(),
+      publishVersion: () => this.publishRandomVersion(),
       queueAll: () => this.versionFaults_.queueAll(),
       kill: box => this.restart(box, "SIGKILL"),
       freeze: box => this.freeze(box),
       cutFromStore: box => this.cutFromStore(box),
       replaceEngine: () => this.replaceEngine(true),
-      isCalm: haveFaultsEnded
+      haveFaultsEnded
     })
   }
 
@@ -88,9 +88,9 @@
    */
   async playIncidents(draws: SoakDraws, rateDraws: SoakDraws): Promise<void> {
     const faults = new IncidentFaults(this.bed_, draws, this.record_, {
-      isHeld: box => this.stoppedBoxes_.has(box) || box.suspendedFrom !== undefined,
-      isCalm: () => this.haveFaultsEnded_,
-      heldKey: () => this.organisations_?.heldKey
+      isStopped: box => this.stoppedBoxes_.has(box) || box.suspendedFrom !== undefined,
+      haveFaultsEnded: () => this.haveFaultsEnded_,
+      validKey: () => this.organisations_?.validKey
     })
     this.rates_ = new RateFaults(
       this.bed_,
@@ -101,9 +101,9 @@
     await Promise.all([faults.play(), this.rates_.play()])
   }
 
-  calm(): void {
+  endFaults(): void {
     this.haveFaultsEnded_ = true
-    this.rates_?.calm()
+    this.rates_?.endAll()
     for (const box of this.bed_.boxes) this.bed_.resume(box)
     const {store, workerProxies, boxes} = this.bed_
     store.faults = {}
@@ -116,20 +116,20 @@
   }
 
   /** Draws a fault and injects it. Some kinds only end an earlier one. */
-  async disturb(): Promise<void> {
+  async injectRandom(): Promise<void> {
     const drawn = this.optionalFaults() ?? this.usualFaults()
     await this.inject(drawn, this.draws_.pick(Object.keys(drawn)))
   }
 
   /** Injects the fault of this name. */
-  async play(name: string): Promise<void> {
+  async injectNamed(name: string): Promise<void> {
     const {versionFaults_, drillFaults_} = this
     const all = {
       ...this.usualFaults(),
       ...this.restartFaults(),
       ...versionFaults_.all(),
       ...drillFaults_.drills(),
-      ...drillFaults_.leads()
+      ...drillFaults_.leaderChanges()
     }
     if (!(name in all)) throw new Error(`unknown fault in the script: ${name}`)
     await this.inject(all, name)
@@ -187,7 +187,7 @@
     }
     if (drills && this.draws_.draw() < DRILL_SHARE) return this.drillFaults_.drills()
     if (leads && this.draws_.draw() < LEADER_CHANGE_SHARE)
-      return this.drillFaults_.leads()
+      return this.drillFaults_.leaderChanges()
     if (versions && this.draws_.draw() < VERSION_SHARE) return this.versionFaults_.all()
     return undefined
   }
@@ -202,7 +202,7 @@
       drill: this.options_.drills
         ? () => this.drillFaults_.drills()["drill"]?.()
         : undefined,
-      isCalm: () => this.haveFaultsEnded_
+      haveFaultsEnded: () => this.haveFaultsEnded_
     }
   }
 
@@ -251,7 +251,7 @@
     if (signal === "SIGKILL") await child.end(signal)
     else child.signal(signal)
     void until("the box ended", () => child.ended).then(() => {
-      if (box.child !== child || this.over) return
+      if (box.child !== child || this.hasDeploymentEnded) return
       this.record_.exempt(box.name)
       this.bed_.restartBox(box)
       this.excuseStart(box)
@@ -279,7 +279,7 @@
     child.signal("SIGHUP")
     const ended = until("the box ended", () => child.endedBy === "SIGHUP", FAULT_MS)
     const restart = (): void => {
-      if (box.child === child && !this.over) this.bed_.restartBox(box)
+      if (box.child === child && !this.hasDeploymentEnded) this.bed_.restartBox(box)
     }
     ended.then(restart, () => undefined)
   }
@@ -342,7 +342,7 @@
   }
 
   private publishRandomVersion(): void {
-    this.publishVersion(`a${Math.floor(NAMED_ADAPTERS * this.draws_.draw())}`)
+    this.publishVersion(`a${Math.floor(VERSIONED_ADAPTER_COUNT * this.draws_.draw())}`)
   }
 
   /** Publishes the next version of an adapter. */
--- a/test/support/soak-incident-faults.ts
+++ b/test/support/soak-incident-faults.ts
@@ -34,10 +34,10 @@
 
 export interface IncidentActions {
   /** Whether the process of the box is already stopped. */
-  readonly isHeld: (box: BedBox) => boolean
-  readonly isCalm: () => boolean
+  readonly isStopped: (box: BedBox) => boolean
+  readonly haveFaultsEnded: () => boolean
   /** A key that isn't revoked. Undefined if callers need no keys. */
-  readonly heldKey: () => string | undefined
+  readonly validKey: () => string | undefined
 }
 
 export class IncidentFaults {
@@ -55,9 +55,9 @@
    * Injects incidents until faults have ended. Resolves when all callers have a response.
    */
   async play(): Promise<void> {
-    while (!this.actions_.isCalm()) {
+    while (!this.actions_.haveFaultsEnded()) {
       await pause(this.drawFrom(INTERVAL_MS))
-      if (this.actions_.isCalm()) break
+      if (this.actions_.haveFaultsEnded()) break
       this.injectNext()
     }
     await Promise.all(this.calls_)
@@ -91,10 +91,10 @@
     const path = this.draws_.pick(["/stream/x", "/once/x", "/unsafe/x"])
     const adapter = path === "/unsafe/x" ? {} : {adapter: "a0"}
     const calls: Promise<void>[] = []
-    while (performance.now() < end && !this.actions_.isCalm()) {
+    while (performance.now() < end && !this.actions_.haveFaultsEnded()) {
       const box = this.draws_.pick(this.bed_.boxes)
       const sentAt = performance.now()
-      const key = this.actions_.heldKey()
+      const key = this.actions_.validKey()
       const options = {body, ...adapter, ...(key === undefined ? {} : {key})}
       const call = this.bed_.call(box, path, options).then(outcome => {
         this.record_.crashing.push({path, box: box.name, outcome, sentAt})
@@ -124,7 +124,7 @@
 
   private suspend(box: BedBox | undefined): void {
     const ms = this.drawFrom(SUSPENDED_MS)
-    if (!box || box.child.ended || this.actions_.isHeld(box)) return
+    if (!box || box.child.ended || this.actions_.isStopped(box)) return
     this.record_.exempt(box.name)
     void this.bed_.suspend(box, ms).then(() => this.record_.exempt(box.name))
   }
--- a/test/support/soak-judge-organisations.ts
+++ b/test/support/soak-judge-organisations.ts
@@ -2,7 +2,7 @@
 import type {Judge, Run} from "../stand-ins/platform-judge.js"
 import {KEY_REVOCATION_MS} from "./platform-bed.js"
 import {
-  type SetLimit,
+  type LimitChange,
   type SoakOrganisations,
   USAGE_WINDOW_S
 } from "./soak-organisations.js"
@@ -44,19 +44,20 @@
   const {id, status} = outcome
   const runs = judge.runsOf(id)
   const owner = organisations.ownerOf(key)
-  if (status === 401 && organisations.isSteady(key)) return [`${id}: 401 for a held key`]
+  if (status === 401 && organisations.wasNeverRevoked(key))
+    return [`${id}: 401 for a held key`]
   if (runs.length === 0) return []
   if (owner === undefined) return [`${id} ran with ${key ?? "no key"}`]
   const other = runs.find(({tenant}) => tenant !== owner)
   if (other) return [`${id} of ${owner} ran for ${other.tenant ?? "nobody"}`]
-  const revokedAt = organisations.takenAt(key)
+  const revokedAt = organisations.revokedAt(key)
   if (revokedAt === undefined || sentAt <= revokedAt + KEY_REVOCATION_MS) return []
   return [
     `${id} ran, sent ${Math.round(sentAt - revokedAt)} ms after its key was taken away`
   ]
 }
 
-function judgeLimits(runs: readonly Run[], limits: readonly SetLimit[]): string[] {
+function judgeLimits(runs: readonly Run[], limits: readonly LimitChange[]): string[] {
   const names = [...new Set(limits.map(({organisation}) => organisation))]
   return names.flatMap(name => {
     const ownRuns = runs.filter(({tenant}) => tenant === name)
@@ -82,7 +83,7 @@
 /**
  * Returns the highest limit that may have been in force in the window that ends at `at`.
  */
-function limitAt(limits: readonly SetLimit[], at: number): number {
+function limitAt(limits: readonly LimitChange[], at: number): number {
   const from = at - WINDOW_MS - LOWERED_LIMIT_MS
   const before = limits.filter(limit => limit.at <= from).at(-1)
   const since = limits.filter(limit => limit.at > from && limit.at <= at)
--- a/test/support/soak-organisations.ts
+++ b/test/support/soak-organisations.ts
@@ -26,7 +26,7 @@
 }
 
 /** A limit, and when the store acknowledged it. */
-export interface SetLimit {
+export interface LimitChange {
   readonly organisation: string
   readonly at: number
   readonly tokens: number
@@ -37,7 +37,7 @@
  * requests.
  */
 export class SoakOrganisations {
-  readonly limits: SetLimit[] = []
+  readonly limits: LimitChange[] = []
   private readonly keys_: CallerKey[] = []
   private callsPerS_ = Array.from({length: ORGANISATION_COUNT}, () => USUAL_CALLS_PER_S)
   private nextKeyId_ = 0
@@ -108,23 +108,23 @@
   }
 
   /** Writes the organisations, from which on boxes demand keys. */
-  open(): void {
+  enable(): void {
     this.configure_(this.tenants)
   }
 
   /** Restores the usual limits. */
-  calm(): void {
+  restoreLimits(): void {
     this.callsPerS_ = this.callsPerS_.map(() => USUAL_CALLS_PER_S)
     this.configure_(this.tenants)
   }
 
   /** A key that isn't revoked. */
-  get heldKey(): string {
+  get validKey(): string {
     return this.keys_.find(({revokedAt}) => revokedAt === undefined)?.key ?? ""
   }
 
   /** Whether the key has existed since the start of the round and was never revoked. */
-  isSteady(key: string | undefined): boolean {
+  wasNeverRevoked(key: string | undefined): boolean {
     const index = this.keys_.findIndex(entry => entry.key === key)
     if (index < 0 || index >= ORGANISATION_COUNT * KEYS_PER_ORGANISATION) return false
     return this.keys_[index]?.revokedAt === undefined
@@ -138,7 +138,7 @@
     return this.keys_.find(entry => entry.key === key)?.organisation
   }
 
-  takenAt(key: string | undefined): number | undefined {
+  revokedAt(key: string | undefined): number | undefined {
     return this.keys_.find(entry => entry.key === key)?.revokedAt
   }
 
@@ -160,7 +160,7 @@
   readonly killLeader: () => unknown
   /** Undefined if the round has no restore drills. */
   readonly drill: (() => unknown) | undefined
-  readonly isCalm: () => boolean
+  readonly haveFaultsEnded: () => boolean
 }
 
 /** Returns the faults that organisations add to a round. */
@@ -170,7 +170,7 @@
 ): Readonly<Record<string, () => unknown>> {
   const thenRevokeKey = (action: () => unknown) => (): void => {
     action()
-    setTimeout(() => actions.isCalm() || organisations.revokeKey(), 150)
+    setTimeout(() => actions.haveFaultsEnded() || organisations.revokeKey(), 150)
   }
   return {
     "key-taken": () => organisations.revokeKey(),
@@ -187,7 +187,7 @@
 
 function drillFaults(
   organisations: SoakOrganisations,
-  {drill, isCalm: haveFaultsEnded}: OrganisationActions
+  {drill, haveFaultsEnded}: OrganisationActions
 ): Readonly<Record<string, () => unknown>> {
   if (!drill) return {}
   return {
--- a/test/support/soak-rate-faults.ts
+++ b/test/support/soak-rate-faults.ts
@@ -57,7 +57,7 @@
   }
 
   /** Ends all rate limits. */
-  calm(): void {
+  endAll(): void {
     for (const worker of [...this.bed_.engines, ...this.bed_.plain]) {
       worker.nameRate(undefined)
     }
--- a/test/support/soak-version-faults.ts
+++ b/test/support/soak-version-faults.ts
@@ -7,7 +7,7 @@
 import type {SoakDraws} from "./soak-record.js"
 
 /** Count of adapters that get new versions: those with the most requests. */
-export const NAMED_ADAPTERS = 4
+export const VERSIONED_ADAPTER_COUNT = 4
 
 /** Time that requests wait at an engine that queues. */
 const QUEUE_TIME_MS = {least: 1_000, most: 3_500}
@@ -102,12 +102,12 @@
 
   /** Publishes `count` versions of each of one or more adapters. */
   private publishSeries(count: number, gap: Range): void {
-    const first = this.drawBelow(NAMED_ADAPTERS)
-    const adapters = 1 + this.drawBelow(NAMED_ADAPTERS)
+    const first = this.drawBelow(VERSIONED_ADAPTER_COUNT)
+    const adapters = 1 + this.drawBelow(VERSIONED_ADAPTER_COUNT)
     let at = 0
     for (let i = 0; i < count; i++) {
       for (let j = 0; j < adapters; j++) {
-        const adapter = `a${(first + j) % NAMED_ADAPTERS}`
+        const adapter = `a${(first + j) % VERSIONED_ADAPTER_COUNT}`
         this.schedule(at, () => this.publishVersion_(adapter))
       }
       at += this.drawFrom(gap)
