--- a/bench/capacity-config.ts
+++ b/bench/capacity-config.ts
@@ -2,7 +2,7 @@
 import {applyChanges, listRecords, restoreSnapshot} from "../src/core/configuration.js"
 import type {Configuration, SnapshotRecord} from "../src/types/config.js"
 import {fitLine, type Line, type Point} from "./fit.js"
-import {settledHeap, timeEach} from "./measure.js"
+import {measureHeapBytes, measureMedianUs} from "./measure.js"
 
 function makeRecords(adapters: number, engines = 0, cells = 1): SnapshotRecord[] {
   const records: SnapshotRecord[] = []
@@ -45,11 +45,11 @@
 export function measureConfigMemory(): Line {
   const points: Point[] = []
   for (const adapters of [2_000, 4_000, 8_000, 16_000]) {
-    const before = settledHeap()
+    const before = measureHeapBytes()
     const parsed = JSON.parse(JSON.stringify(makeRecords(adapters))) as SnapshotRecord[]
     const config = restoreSnapshot(parsed, 1)
     parsed.length = 0
-    points.push({size: adapters * 2, value: settledHeap() - before})
+    points.push({size: adapters * 2, value: measureHeapBytes() - before})
     if (config.generation !== 1)
       throw new Error(`restored generation ${config.generation} in place of 1`)
   }
@@ -71,7 +71,7 @@
   return fitLine(
     sizes.map(adapters => {
       let config = makeConfig(adapters)
-      const value = timeEach(50, () => {
+      const value = measureMedianUs(50, () => {
         const generation = config.generation + 1
         const record = {
           kind: "adapter" as const,
--- a/bench/capacity-steps.ts
+++ b/bench/capacity-steps.ts
@@ -8,8 +8,8 @@
 import {BUILT_IN_POLICY, findPolicy} from "../src/plugins/policies.js"
 import {makeConfig} from "./capacity-config.js"
 import {fitLine, type Line} from "./fit.js"
-import {timeEach} from "./measure.js"
-import {OwnedKeeper} from "./owned-keeper.js"
+import {measureMedianUs} from "./measure.js"
+import {BenchKeeper} from "./owned-keeper.js"
 
 const KEEPER_OPTIONS: KeeperOptions = {
   self: "keeper-0",
@@ -23,7 +23,7 @@
 
 /** Creates a keeper with one cell, a linked entry and adapters loaded on every engine. */
 function makeKeeper(engines: number): KeeperState {
-  const keeper = new OwnedKeeper(KEEPER_OPTIONS, makeConfig(64, engines))
+  const keeper = new BenchKeeper(KEEPER_OPTIONS, makeConfig(64, engines))
   const models = ["base-a/adapter-0@1", "base-a/adapter-1@1"]
   for (const effect of keeper.step({type: "tick", epochMs: 0})) {
     if (effect.type !== "order" || effect.order.order !== "list") continue
@@ -57,7 +57,7 @@
     for (let index = 0; index < running; index++) {
       state = stepKeeper(state, createAsk(`warm-${index}`), 1_000, KEEPER_OPTIONS).state
     }
-    const value = timeEach(200, index => {
+    const value = measureMedianUs(200, index => {
       stepKeeper(state, createAsk(`ask-${index}`), 1_000, KEEPER_OPTIONS)
     })
     return {size: running, value}
@@ -68,7 +68,7 @@
 export function measureTickTime(): Line {
   const points = [4, 8, 16, 32].map(engines => {
     const state = makeKeeper(engines)
-    const value = timeEach(500, index => {
+    const value = measureMedianUs(500, index => {
       stepKeeper(state, {type: "tick", epochMs: index}, 1_001, KEEPER_OPTIONS)
     })
     return {size: engines, value}
@@ -89,7 +89,7 @@
       ])
     )
     const event = {type: "shares" as const, shares, keepers, entries: keepers}
-    const value = timeEach(50, () => {
+    const value = measureMedianUs(50, () => {
       stepKeeper(state, event, 1_000, KEEPER_OPTIONS)
     })
     return {size: count, value}
@@ -125,7 +125,7 @@
     for (let index = 0; index < inProgress; index++) {
       state = stepEntry(state, arrive(`warm-${index}`), 1, options).state
     }
-    const value = timeEach(500, index => {
+    const value = measureMedianUs(500, index => {
       stepEntry(state, arrive(`new-${index}`), 1, options)
     })
     return {size: inProgress, value}
--- a/bench/demo.ts
+++ b/bench/demo.ts
@@ -38,11 +38,11 @@
   try {
     const calls = await runWorkload(deployment, {
       requests: REQUESTS,
-      perSecond: PER_SECOND,
-      exponent: 1.3,
+      requestsPerSecond: PER_SECOND,
+      zipfExponent: 1.3,
       seed: 7,
-      oncePart: 0.2,
-      repeatPart: 0.3,
+      onceFraction: 0.2,
+      repeatFraction: 0.3,
       maxTokens: 24,
       onSent: count => void injectFaults(deployment, count)
     })
--- a/bench/drill.ts
+++ b/bench/drill.ts
@@ -76,10 +76,10 @@
   const ordersBefore = bed.judge.orders.length
   let returnedAt = 0
   const drill = bed.store.drill({
-    copyAgeMs: Number(options["copyAge"]),
-    awayMs: Number(options["away"]),
+    backupAgeMs: Number(options["copyAge"]),
+    outageMs: Number(options["away"]),
     rewriteMs: Number(options["rewrite"]),
-    returned: () => (returnedAt = performance.now())
+    onRestored: () => (returnedAt = performance.now())
   })
   const after = await callFor(bed, SPAN_MS)
   await drill
--- a/bench/measure.ts
+++ b/bench/measure.ts
@@ -1,7 +1,7 @@
 /** Measurement of call times and memory. */
 
 /** Returns the median time of a call in microseconds, after as many warm-up calls. */
-export function timeEach(count: number, call: (index: number) => void): number {
+export function measureMedianUs(count: number, call: (index: number) => void): number {
   for (let index = 0; index < count; index++) call(index)
   const times: number[] = []
   for (let index = 0; index < count; index++) {
@@ -14,7 +14,7 @@
 }
 
 /** Returns the used heap bytes. Collects garbage first if `--expose-gc` is set. */
-export function settledHeap(): number {
+export function measureHeapBytes(): number {
   globalThis.gc?.()
   return process.memoryUsage().heapUsed
 }
--- a/bench/owned-keeper.ts
+++ b/bench/owned-keeper.ts
@@ -6,7 +6,7 @@
 
 const KEEPER_RECORD = {address: "", ops: "", dataCentre: "a"}
 
-export class OwnedKeeper {
+export class BenchKeeper {
   state: KeeperState
   now = 1_000
 
--- a/bench/places-boxes.ts
+++ b/bench/places-boxes.ts
@@ -31,7 +31,7 @@
 export interface BoxesOptions {
   readonly boxes: number
   /** One-way link delay from a box to the leader. */
-  readonly wayMs: number
+  readonly linkDelayMs: number
   readonly leader: BenchLeader
   /** Returns random numbers in [0, 1). */
   readonly draw: () => number
@@ -46,7 +46,7 @@
 }
 
 export class BenchBoxes {
-  needs = 0
+  weightsRequests = 0
   /** Messages sent to the leader, and their bytes. */
   messages = 0
   bytes = 0
@@ -71,7 +71,7 @@
   }
 
   resetCounts(): void {
-    this.needs = 0
+    this.weightsRequests = 0
     this.messages = 0
     this.bytes = 0
     this.applyMs = 0
@@ -105,14 +105,14 @@
 
   /** Sends waiting requests to the slots of their adapters as soon as these are ready. */
   serveWaiting({engine, places}: EngineDelta): void {
-    const {after, leader, wayMs} = this.options_
+    const {after, leader, linkDelayMs: wayMs} = this.options_
     for (const {adapter, readyInMs} of places) {
       const waiting = this.waiting_.get(adapter) ?? []
       this.waiting_.delete(adapter)
       for (const {box, request} of waiting) {
         after(wayMs + readyInMs, () => {
           this.count({t: "drop", request})
-          leader.dropNeed(`box-${box}`, request)
+          leader.removeWeightsRequest(`box-${box}`, request)
           this.send(box, engine, adapter)
         })
       }
@@ -120,19 +120,19 @@
   }
 
   /** Sends usage deltas of the boxes that are due, spread over the batch interval. */
-  flushUses(): void {
+  sendUseDeltas(): void {
     const {boxes, now, leader} = this.options_
     const intervalMs = Math.max(1, batchIntervalMs(boxes))
     for (let box = now() % intervalMs; box < boxes; box += intervalMs) {
       const changes = this.useCounts_[box]?.drain() ?? []
       if (changes.length === 0) continue
       this.count({t: "use", changes})
-      leader.takeUses(`box-${box}`, changes)
+      leader.applyUseDeltas(`box-${box}`, changes)
     }
   }
 
   /** Returns the bytes of a weights request and its answer with one slot. */
-  askedBytes(adapter: string): number {
+  weightsRequestBytes(adapter: string): number {
     const request = packPlain({t: "need", need: this.createWeightsRequest(adapter)})
     const places = [{adapter: adapterKey(MODEL, adapter), version: 1, readyInMs: 0}]
     const change = {engine: "i-0000000000", places, gone: []}
@@ -151,13 +151,13 @@
 
   private requestWeights(box: number, adapter: string): void {
     this.weightsRequestCount_++
-    this.needs++
+    this.weightsRequests++
     const weightsRequest = this.createWeightsRequest(adapter)
     this.count({t: "need", need: weightsRequest})
     const key = adapterKey(MODEL, adapter)
     const others = this.waiting_.get(key) ?? []
     this.waiting_.set(key, [...others, {box, request: weightsRequest.request}])
-    this.options_.leader.takeNeed(`box-${box}`, weightsRequest)
+    this.options_.leader.addWeightsRequest(`box-${box}`, weightsRequest)
   }
 
   private createWeightsRequest(adapter: string): WeightsRequest {
--- a/bench/places-leader.ts
+++ b/bench/places-leader.ts
@@ -98,16 +98,16 @@
     this.loads = 0
   }
 
-  takeNeed(box: string, need: WeightsRequest): void {
+  addWeightsRequest(box: string, need: WeightsRequest): void {
     this.fleet.needsPlanning = true
     this.measure(() => handleWeightsRequest(this.fleet, box, need, this.options_.now()))
   }
 
-  dropNeed(box: string, request: string): void {
+  removeWeightsRequest(box: string, request: string): void {
     this.measure(() => removeWeightsRequest(this.fleet, box, request))
   }
 
-  takeUses(box: string, changes: readonly EngineUseDelta[]): void {
+  applyUseDeltas(box: string, changes: readonly EngineUseDelta[]): void {
     this.fleet.needsPlanning = true
     this.measure(() => applyUseDeltas(this.fleet, box, changes, this.options_.now()))
   }
--- a/bench/places-links.ts
+++ b/bench/places-links.ts
@@ -2,11 +2,11 @@
 
 export interface LinkOptions {
   /** Throughput of the leader's uplink. */
-  readonly bytesPerMs: number
+  readonly uplinkBytesPerMs: number
   /** One-way link delay. */
   readonly delayMs: number
   /** Fraction of messages that are lost and sent again. */
-  readonly loss: number
+  readonly lossRatio: number
   /** Returns random numbers in [0, 1). */
   readonly draw: () => number
 }
@@ -28,13 +28,13 @@
   constructor(private readonly options_: LinkOptions) {}
 
   /** Lets no message arrive at the box in this period. */
-  cut(box: number, from: number, until: number): void {
+  addOutage(box: number, from: number, until: number): void {
     this.outages_.set(box, {from, until})
   }
 
   /** Returns when a message of this size that is sent now arrives at a box. */
   send(box: number, bytes: number, now: number): number {
-    const {bytesPerMs, delayMs, loss, draw} = this.options_
+    const {uplinkBytesPerMs: bytesPerMs, delayMs, lossRatio: loss, draw} = this.options_
     this.uplinkFreeAt_ = Math.max(this.uplinkFreeAt_, now) + bytes / bytesPerMs
     const retransmissionMs = draw() < loss ? RETRANSMISSION_MS : 0
     const undisturbedAt = this.uplinkFreeAt_ + delayMs + retransmissionMs
--- a/bench/places-run.ts
+++ b/bench/places-run.ts
@@ -7,7 +7,7 @@
 import {BenchBoxes} from "./places-boxes.js"
 import {BenchLeader} from "./places-leader.js"
 import {Links} from "./places-links.js"
-import {createDraws, createZipf} from "./workload.js"
+import {createRandomSource, createZipf} from "./workload.js"
 
 export interface Size {
   readonly boxes: number
@@ -19,7 +19,7 @@
 }
 
 /** Totals of a run. `coreMs`, `packMs` and `applyMs` are processor times. */
-export interface Counted {
+export interface RunCounts {
   /** Counted simulated time. 0 or less if the run ended before counting began. */
   readonly countedMs: number
   readonly leaderMessages: number
@@ -27,9 +27,9 @@
   /** Bytes of broadcasts received by each box. */
   readonly boxBytes: number
   /** Messages received by the leader, and their bytes. */
-  readonly heardMessages: number
-  readonly heardBytes: number
-  readonly needs: number
+  readonly receivedMessages: number
+  readonly receivedBytes: number
+  readonly weightsRequests: number
   readonly loads: number
   readonly coreMs: number
   readonly packMs: number
@@ -37,11 +37,11 @@
   /** Time from an order until boxes receive the slot change, for broadcast changes. */
   readonly ageP50Ms: number
   readonly ageP99Ms: number
-  readonly pictureBytes: number
+  readonly snapshotBytes: number
   /** Bytes received by each box if changed engines were sent as full snapshots. */
-  readonly picturesBytes: number
+  readonly changedSnapshotsBytes: number
   /** Bytes at the leader, in both directions, if each request asked it for a slot. */
-  readonly askingBytes: number
+  readonly queryBytes: number
 }
 
 /** Nothing is counted before, while leader and boxes exchange their initial state. */
@@ -63,14 +63,14 @@
   leaderBytes: 0,
   boxBytes: 0,
   packMs: 0,
-  picturesBytes: 0,
-  askingBytes: 0
+  changedSnapshotsBytes: 0,
+  queryBytes: 0
 }
 
 export class PlacesRun {
   private now_ = 0
   private readonly timers_ = new Map<number, (() => void)[]>()
-  private readonly draw_ = createDraws(SEED)
+  private readonly draw_ = createRandomSource(SEED)
   private readonly zipf_: () => number
   private readonly leader_: BenchLeader
   private readonly boxes_: BenchBoxes
@@ -86,22 +86,22 @@
     this.leader_ = new BenchLeader({...size_, drawAdapter, after, now})
     this.boxes_ = new BenchBoxes({
       boxes: size_.boxes,
-      wayMs: LINK_DELAY_MS,
+      linkDelayMs: LINK_DELAY_MS,
       leader: this.leader_,
       draw: this.draw_,
       after,
       now
     })
     this.links_ = new Links({
-      bytesPerMs: UPLINK_BYTES_PER_MS,
+      uplinkBytesPerMs: UPLINK_BYTES_PER_MS,
       delayMs: LINK_DELAY_MS,
-      loss: LOSS_RATIO,
+      lossRatio: LOSS_RATIO,
       draw: this.draw_
     })
   }
 
   /** Applies the full snapshot that a new box receives, and returns it packed. */
-  tellPicture(): Buffer {
+  sendSnapshot(): Buffer {
     const {fleet} = this.leader_
     const engines = describeFleet(fleet, this.now_)
     const picture = this.pack({t: "engines", engines})
@@ -110,8 +110,8 @@
     return picture
   }
 
-  run(): Counted {
-    const pictureBytes = this.tellPicture().length
+  run(): RunCounts {
+    const pictureBytes = this.sendSnapshot().length
     this.after(SETTLE_MS, () => this.beginCounting())
     const end = SETTLE_MS + this.size_.lengthMs
     const expiresAt = performance.now() + MAX_RUN_MS
@@ -121,17 +121,17 @@
       this.timers_.delete(this.now_)
       requests += this.size_.requestsPerS / MS_PER_S
       for (; requests >= 1; requests--) this.request()
-      this.boxes_.flushUses()
+      this.boxes_.sendUseDeltas()
       for (const effect of this.leader_.planIfDue()) this.handleEffect(effect)
     }
     const {boxes_: boxes, leader_: leader, ages_: ages} = this
     return {
       ...this.counts_,
       countedMs: this.now_ - SETTLE_MS,
-      pictureBytes,
-      heardMessages: boxes.messages,
-      heardBytes: boxes.bytes,
-      needs: boxes.needs,
+      snapshotBytes: pictureBytes,
+      receivedMessages: boxes.messages,
+      receivedBytes: boxes.bytes,
+      weightsRequests: boxes.weightsRequests,
       loads: leader.loads,
       coreMs: leader.coreMs,
       applyMs: boxes.applyMs,
@@ -145,7 +145,7 @@
     this.ages_.reset()
     this.boxes_.resetCounts()
     this.leader_.resetCounts()
-    this.links_.cut(0, this.now_, this.now_ + OUTAGE_MS)
+    this.links_.addOutage(0, this.now_, this.now_ + OUTAGE_MS)
   }
 
   private after(ms: number, act: () => void): void {
@@ -161,7 +161,7 @@
 
   private request(): void {
     const adapter = this.drawAdapter()
-    this.counts_.askingBytes += this.boxes_.askedBytes(adapter)
+    this.counts_.queryBytes += this.boxes_.weightsRequestBytes(adapter)
     this.boxes_.request(adapter)
   }
 
@@ -171,7 +171,7 @@
     const {changes, loads, boxes} = effect
     for (const change of changes) this.boxes_.serveWaiting(change)
     if (boxes) return this.countAnswers(changes, boxes.length)
-    this.counts_.picturesBytes += this.measureSnapshotBytes(changes)
+    this.counts_.changedSnapshotsBytes += this.measureSnapshotBytes(changes)
     this.broadcast({t: "places", changes, loads})
   }
 
--- a/bench/places.ts
+++ b/bench/places.ts
@@ -4,7 +4,7 @@
  * with rate, delay, loss and an outage. Also computes the bytes of alternative protocols
  * from the same run.
  */
-import {settledHeap} from "./measure.js"
+import {measureHeapBytes} from "./measure.js"
 import {PlacesRun, type Size} from "./places-run.js"
 
 const SIZES: readonly Size[] = [
@@ -27,11 +27,11 @@
 }
 
 function measure(size: Size): Record<string, number> {
-  const heapBefore = settledHeap()
+  const heapBefore = measureHeapBytes()
   const run = new PlacesRun(size)
-  const heapWithLeader = settledHeap()
-  run.tellPicture()
-  const boxHeapMb = (settledHeap() - heapWithLeader) / 1e6
+  const heapWithLeader = measureHeapBytes()
+  run.sendSnapshot()
+  const boxHeapMb = (measureHeapBytes() - heapWithLeader) / 1e6
   const leaderHeapMb = (heapWithLeader - heapBefore) / 1e6
   const counted = run.run()
   const {boxes, engines, requestsPerS} = size
@@ -45,23 +45,23 @@
     engines,
     requestsPerS,
     countedMs,
-    needsPerS: perS(counted.needs),
+    needsPerS: perS(counted.weightsRequests),
     loadsPerS: perS(counted.loads),
     leaderMessagesPerS: perS(counted.leaderMessages),
     leaderKbPerS: perS(counted.leaderBytes / 1e3),
     boxKbPerS: perS(boxBytes / 1e3, 1),
-    heardMessagesPerS: perS(counted.heardMessages),
-    heardKbPerS: perS(counted.heardBytes / 1e3),
+    heardMessagesPerS: perS(counted.receivedMessages),
+    heardKbPerS: perS(counted.receivedBytes / 1e3),
     leaderCoreMsPerS: perS(counted.coreMs),
     leaderPackMsPerS: perS(counted.packMs, 1),
     boxApplyMsPerS: perS(counted.applyMs, 1),
     ageP50Ms: counted.ageP50Ms,
     ageP99Ms: counted.ageP99Ms,
-    pictureKb: Math.round(counted.pictureBytes / 1e3),
+    pictureKb: Math.round(counted.snapshotBytes / 1e3),
     boxHeapMb: Number(boxHeapMb.toFixed(1)),
     leaderHeapMb: Number(leaderHeapMb.toFixed(1)),
-    picturesBoxKbPerS: perS(counted.picturesBytes / 1e3, 1),
+    picturesBoxKbPerS: perS(counted.changedSnapshotsBytes / 1e3, 1),
     treeNodeKbPerS: perS(((1 + TREE_WIDTH) * boxBytes) / 1e3, 1),
-    askingLeaderKbPerS: perS(counted.askingBytes / 1e3)
+    askingLeaderKbPerS: perS(counted.queryBytes / 1e3)
   }
 }
--- a/bench/policy-load.ts
+++ b/bench/policy-load.ts
@@ -11,8 +11,8 @@
 import {BUILT_IN_POLICY, DEFAULT_TIMING} from "../src/index.js"
 import type {EntryMessage} from "../src/types/messages.js"
 import type {SnapshotRecord} from "../src/types/config.js"
-import {OwnedKeeper} from "./owned-keeper.js"
-import {createDraws, createZipf} from "./workload.js"
+import {BenchKeeper} from "./owned-keeper.js"
+import {createRandomSource, createZipf} from "./workload.js"
 
 export interface Deployment {
   readonly name: string
@@ -65,7 +65,7 @@
 
 /** Draws a load by Zipf's law. After `SHIFT_MS` other adapters are the popular ones. */
 export function drawArrivals(seed: number, deployment: Deployment): Arrival[] {
-  const draw = createDraws(seed)
+  const draw = createRandomSource(seed)
   const zipf = createZipf(ADAPTERS, ZIPF, draw)
   const arrivals: Arrival[] = []
   let at = 0
@@ -88,7 +88,7 @@
 }
 
 class PolicyLoad {
-  private readonly keeper_: OwnedKeeper
+  private readonly keeper_: BenchKeeper
   private readonly queue_: {at: number; run: () => void}[] = []
   private readonly draw_: () => number
   private readonly loaded_ = new Map<string, Set<string>>()
@@ -108,7 +108,7 @@
     policy: Policy,
     seed: number
   ) {
-    this.draw_ = createDraws(seed + 1_000)
+    this.draw_ = createRandomSource(seed + 1_000)
     const {loadsPerSecond, loadsAtOnce, engines} = deployment
     const options = {
       self: "keeper-0",
@@ -119,7 +119,7 @@
       findPolicy: () => policy,
       builtInPolicy: BUILT_IN_POLICY
     }
-    this.keeper_ = new OwnedKeeper(options, makeConfig(engines))
+    this.keeper_ = new BenchKeeper(options, makeConfig(engines))
     for (let engine = 0; engine < engines; engine++) {
       this.loaded_.set(`engine-${engine}`, new Set())
       this.running_.set(`engine-${engine}`, new Map())
--- a/bench/rules.ts
+++ b/bench/rules.ts
@@ -3,7 +3,7 @@
 import type {EngineView, Policy, RequestView} from "../src/core/policy.js"
 import {createRulePolicy} from "../src/plugins/rule-policy.js"
 import {compileRules} from "../src/plugins/rules.js"
-import {settledHeap} from "./measure.js"
+import {measureHeapBytes} from "./measure.js"
 
 const ENGINES = 16
 const SLOTS = 8
@@ -57,9 +57,9 @@
 export function benchRules(): void {
   const engines = Array.from({length: ENGINES}, (_, index) => makeEngine(index))
   const [engine] = engines
-  const before = settledHeap()
+  const before = measureHeapBytes()
   const compiled = Array.from({length: 100}, () => compileRules(TEXTS))
-  const heapKb = (settledHeap() - before) / compiled.length / 1024
+  const heapKb = (measureHeapBytes() - before) / compiled.length / 1024
   const time = (policy: Policy) => ({
     "rank 16 engines us": measure(() => policy.rankServing(engines, REQUEST)),
     "rank 8 victims us": measure(() => engine && policy.rankVictims(engine, 100))
--- a/bench/workload.ts
+++ b/bench/workload.ts
@@ -6,7 +6,7 @@
 import type {Call} from "../test/support/oracle.js"
 
 /** Creates an independent source of random numbers in [0, 1). */
-export function createDraws(seed: number): () => number {
+export function createRandomSource(seed: number): () => number {
   let random: RandomGenerator = createRandom(seed)
   return () => {
     const [value, next] = uniformFloat64(random)
@@ -39,13 +39,13 @@
 
 export interface WorkloadOptions {
   readonly requests: number
-  readonly perSecond: number
-  readonly exponent: number
+  readonly requestsPerSecond: number
+  readonly zipfExponent: number
   readonly seed: number
   /** Fraction of requests that must run at most once. */
-  readonly oncePart: number
+  readonly onceFraction: number
   /** Fraction of those that callers also send to another box, whatever the result. */
-  readonly repeatPart: number
+  readonly repeatFraction: number
   readonly maxTokens: number
   readonly onSent?: (count: number) => void
 }
@@ -55,23 +55,23 @@
   deployment: Deployment,
   options: WorkloadOptions
 ): Promise<Call[]> {
-  const draw = createDraws(options.seed)
-  const zipf = createZipf(deployment.models.length, options.exponent, draw)
+  const draw = createRandomSource(options.seed)
+  const zipf = createZipf(deployment.models.length, options.zipfExponent, draw)
   const order = shuffle(deployment.models, draw)
   const calls: Call[] = []
   const pending: Promise<void>[] = []
   const startedAt = Date.now()
   for (let count = 0; count < options.requests; count++) {
-    const due = startedAt + (count / options.perSecond) * 1000
+    const due = startedAt + (count / options.requestsPerSecond) * 1000
     if (due > Date.now()) await new Promise(done => setTimeout(done, due - Date.now()))
-    const once = draw() < options.oncePart
+    const once = draw() < options.onceFraction
     const plan = {
       tag: `t${options.seed}-${count}`,
       model: order[zipf()] ?? "",
       tokens: 1 + Math.floor(draw() * options.maxTokens),
       stream: draw() < 0.7,
       once,
-      repeat: once && draw() < options.repeatPart,
+      repeat: once && draw() < options.repeatFraction,
       box: Math.floor(draw() * deployment.boxes.length)
     }
     pending.push(sendPlan(deployment, plan, calls))
--- a/test/departures.test.ts
+++ b/test/departures.test.ts
@@ -77,7 +77,7 @@
   const worker = plainOf(bed, others[0] as BedBox)
   cutOff(leader)
   await sleep(2_000)
-  worker.vanish()
+  worker.removeEntry()
   await callFor(bed, others, 1_500)
   leader.storeProxy?.setFaults()
   await callFor(bed, others, 2_500)
--- a/test/foreign-entries.test.ts
+++ b/test/foreign-entries.test.ts
@@ -139,7 +139,7 @@
     bad.faults = {slowMs: SETTLE_MS}
     const running = bed.boxes.map(box => bed.call(box, "/unsafe/x", {body: "{}"}))
     await new Promise(resolve => setTimeout(resolve, 100))
-    bad.hold()
+    bad.pauseHeartbeats()
     bed.store.writeBytes(`servers/${bad.id}`, Buffer.from('{"state":"ready"'))
     await new Promise(resolve => setTimeout(resolve, KNOWN_MS))
     for (const {status} of await Promise.all(running))
@@ -151,7 +151,7 @@
     const late = bed.judge.runs.slice(before).filter(({worker}) => worker === bad.id)
     t.equal(late.length, 0, "no more requests")
     bad.faults = {}
-    bad.resume()
+    bad.resumeHeartbeats()
     await until(
       "it is used again",
       async () => {
--- a/test/model-lead.test.ts
+++ b/test/model-leadership.test.ts
@@ -1,7 +1,7 @@
 /** Explores leadership over engines without fencing tokens. Each guard is needed. */
 import t from "tap"
 import {type Exploration, explore, findViolation} from "./model/explore.js"
-import * as leadership from "./model/lead-spec.js"
+import * as leadership from "./model/leadership-spec.js"
 
 function exploreLeadership(guards: leadership.Guards): Exploration {
   return explore(
@@ -20,9 +20,9 @@
 
 /** Guards that matter only after a restore, with the situation that shows each. */
 const RESTORE_GUARDS: ReadonlyMap<keyof leadership.Guards, leadership.State> = new Map([
-  ["ownOnlyInEra", leadership.RETURNS.claimed],
-  ["waitEra", leadership.RETURNS.ordering],
-  ["leaseOfEra", leadership.RETURNS.renewing]
+  ["ownOnlyInEra", leadership.RESTORES.claimed],
+  ["waitEra", leadership.RESTORES.ordering],
+  ["leaseOfEra", leadership.RESTORES.renewing]
 ])
 
 /** Explores a restore until new leaders have sent orders. Releases would add nothing. */
@@ -34,12 +34,14 @@
     initial,
     leadership.ACTIONS.filter(({type}) => type !== "release"),
     (state, action) =>
-      leadership.isEraOver(state) ? state : leadership.next(state, action, guards),
+      leadership.isExplorationOver(state)
+        ? state
+        : leadership.next(state, action, guards),
     state => state.violated
   )
 }
 
-for (const [moment, initial] of Object.entries(leadership.RETURNS)) {
+for (const [moment, initial] of Object.entries(leadership.RESTORES)) {
   t.test(
     `the gap holds when the store is restored from an older backup: ${moment}`,
     async t => {
--- a/test/model-copy.test.ts
+++ b/test/model-restore.test.ts
@@ -1,7 +1,7 @@
 /** Explores a box's view of a server when the store is restored from older backups. */
 import t from "tap"
 import {explore, findViolation} from "./model/explore.js"
-import * as restore from "./model/copy-spec.js"
+import * as restore from "./model/restore-spec.js"
 
 t.test(
   "nothing is sent to a server that left, and no live one is refused forever",
--- a/test/model.test.ts
+++ b/test/model.test.ts
@@ -18,7 +18,7 @@
     once.INITIAL,
     once.ACTIONS,
     (state, action) => once.next(state, action, guards),
-    state => state.runs > 1 || state.lied
+    state => state.runs > 1 || state.ranAfterNotRun
   )
 }
 
--- a/test/model/lead-spec.ts
+++ b/test/model/leadership-spec.ts
@@ -103,7 +103,7 @@
 const RESTORED: State = {...INITIAL, eraAge: 0}
 
 /** Situations of the boxes when the store is restored. */
-export const RETURNS: Readonly<Record<"ordering" | "renewing" | "claimed", State>> = {
+export const RESTORES: Readonly<Record<"ordering" | "renewing" | "claimed", State>> = {
   /** A leader's order is under way, and the other box never led. */
   ordering: {
     ...RESTORED,
@@ -125,7 +125,7 @@
 }
 
 /** Whether leaders of the new era have sent orders, which ends the exploration. */
-export function isEraOver({eraAge}: State): boolean {
+export function isExplorationOver({eraAge}: State): boolean {
   return eraAge >= EXPLORED_AGE
 }
 
--- a/test/model/once-spec.ts
+++ b/test/model/once-spec.ts
@@ -45,7 +45,7 @@
   readonly answeredNotRun: readonly [boolean, boolean]
   readonly runs: number
   /** Whether an attempt ran after its caller was answered "not run". */
-  readonly lied: boolean
+  readonly ranAfterNotRun: boolean
 }
 
 export const INITIAL: State = {
@@ -58,7 +58,7 @@
   sealed: false,
   answeredNotRun: [false, false],
   runs: 0,
-  lied: false
+  ranAfterNotRun: false
 }
 
 export interface Action {
@@ -141,7 +141,7 @@
       if (phase !== "granted") return state
       return putAttempt("ran", {
         runs: state.runs + 1,
-        lied: state.answeredNotRun[attempt]
+        ranAfterNotRun: state.answeredNotRun[attempt]
       })
     case "giveUp":
       // Ends an attempt. The key is freed only if the attempt certainly did not run.
--- a/test/model/ownership-spec.ts
+++ b/test/model/ownership-spec.ts
@@ -54,8 +54,8 @@
   /** Whether the lease is valid in its own view. */
   readonly isLeaseValid: boolean
   /** The fence under which it owns the engine in its own view. 0 if it does not. */
-  readonly owns: number
-  readonly heardEntry: boolean
+  readonly ownedFence: number
+  readonly hasInventory: boolean
   readonly entryHolds: boolean
   /** Whether it has an unload under way. It grants nothing until it has the outcome. */
   readonly unloading: boolean
@@ -93,8 +93,8 @@
 const IDLE_KEEPER: Keeper = {
   lease: true,
   isLeaseValid: true,
-  owns: 0,
-  heardEntry: false,
+  ownedFence: 0,
+  hasInventory: false,
   entryHolds: false,
   unloading: false,
   cancelled: false
@@ -195,8 +195,8 @@
         lease: true,
         isLeaseValid: true,
         ...(guards.reclaim && {
-          owns: 0,
-          heardEntry: false,
+          ownedFence: 0,
+          hasInventory: false,
           entryHolds: false,
           unloading: false
         })
@@ -207,8 +207,8 @@
       return updateKeeper(
         type === "claim"
           ? {
-              owns: state.fence + 1,
-              heardEntry: false,
+              ownedFence: state.fence + 1,
+              hasInventory: false,
               entryHolds: false,
               unloading: false
             }
@@ -217,44 +217,53 @@
       )
     case "readRecord":
       if (state.owner !== index)
-        return updateKeeper({owns: 0, heardEntry: false, entryHolds: false})
+        return updateKeeper({ownedFence: 0, hasInventory: false, entryHolds: false})
       return state
     case "inventory": {
-      if (keeper.owns === 0 || keeper.owns < state.entry.fence) return state
-      const entry = {...state.entry, fence: keeper.owns}
+      if (keeper.ownedFence === 0 || keeper.ownedFence < state.entry.fence) return state
+      const entry = {...state.entry, fence: keeper.ownedFence}
       const grant =
-        guards.linkDropsGrants && state.grant === keeper.owns ? 0 : state.grant
+        guards.linkDropsGrants && state.grant === keeper.ownedFence ? 0 : state.grant
       const entryHolds = state.entry.holds || state.entry.busy
       return updateKeeper(
-        {heardEntry: true, entryHolds, cancelled: false},
+        {hasInventory: true, entryHolds, cancelled: false},
         {entry, grant}
       )
     }
     case "inventoryLate":
       // The inventory was buffered while its keeper was paused, so it is out of date.
-      return keeper.owns === 0 || keeper.owns >= state.entry.fence
+      return keeper.ownedFence === 0 || keeper.ownedFence >= state.entry.fence
         ? state
-        : updateKeeper({heardEntry: true, entryHolds: false, cancelled: false})
+        : updateKeeper({hasInventory: true, entryHolds: false, cancelled: false})
     case "grant":
-      if (keeper.owns === 0 || !keeper.heardEntry || state.grant !== 0) return state
+      if (keeper.ownedFence === 0 || !keeper.hasInventory || state.grant !== 0)
+        return state
       if (guards.noGrantWhileUnloading && keeper.unloading) return state
-      return updateKeeper({entryHolds: true}, {grant: keeper.owns, grantIsNew: true})
+      return updateKeeper(
+        {entryHolds: true},
+        {grant: keeper.ownedFence, grantIsNew: true}
+      )
     case "release":
-      if (state.entry.busy || keeper.owns !== state.entry.fence || state.grant !== 0)
+      if (
+        state.entry.busy ||
+        keeper.ownedFence !== state.entry.fence ||
+        state.grant !== 0
+      )
         return state
       return updateKeeper({entryHolds: false}, {entry: {...state.entry, holds: false}})
     case "sendUnload":
       return maySendUnload(keeper, guards) && state.unload === 0
-        ? updateKeeper({unloading: true}, {unload: keeper.owns})
+        ? updateKeeper({unloading: true}, {unload: keeper.ownedFence})
         : state
     case "cancelSilent": {
-      if (!options.checksFences || keeper.owns === 0 || !keeper.isLeaseValid) return state
-      if (keeper.owns < state.engine.floor) return state
-      const engine = {...state.engine, running: false, floor: keeper.owns}
+      if (!options.checksFences || keeper.ownedFence === 0 || !keeper.isLeaseValid)
+        return state
+      if (keeper.ownedFence < state.engine.floor) return state
+      const engine = {...state.engine, running: false, floor: keeper.ownedFence}
       // The link has been silent for so long that both ends have closed it.
-      const grant = state.grant === keeper.owns ? 0 : state.grant
+      const grant = state.grant === keeper.ownedFence ? 0 : state.grant
       return updateKeeper(
-        {heardEntry: true, entryHolds: false, cancelled: true},
+        {hasInventory: true, entryHolds: false, cancelled: true},
         {engine, grant, grantIsNew: false}
       )
     }
@@ -266,16 +275,16 @@
 function mayClaim(state: State, index: 0 | 1, guards: Guards): boolean {
   const keeper = state.keepers[index]
   if (!keeper.lease || !keeper.isLeaseValid) return false
-  if (keeper.owns === state.fence && state.owner === index) return false
+  if (keeper.ownedFence === state.fence && state.owner === index) return false
   if (state.owner === -1) return true
   if (guards.takeoverWait && state.unload !== 0) return false
   return state.owner === index || !state.keepers[state.owner as 0 | 1].lease
 }
 
 function maySendUnload(keeper: Keeper, guards: Guards): boolean {
-  if (keeper.owns === 0) return false
+  if (keeper.ownedFence === 0) return false
   if (guards.leaseCheck && !keeper.isLeaseValid) return false
-  if (guards.inventory && !keeper.heardEntry) return false
+  if (guards.inventory && !keeper.hasInventory) return false
   return !(guards.holders && keeper.entryHolds)
 }
 
@@ -370,7 +379,7 @@
 }
 
 function awaitInventoryAgain(keeper: Keeper): Keeper {
-  return keeper.cancelled ? {...keeper, heardEntry: false, cancelled: false} : keeper
+  return keeper.cancelled ? {...keeper, hasInventory: false, cancelled: false} : keeper
 }
 
 /** Runs a request unless its grant is cancelled or its adapter is not loaded. */
--- a/test/places-bench.test.ts
+++ b/test/places-bench.test.ts
@@ -4,7 +4,7 @@
 import {PlacesRun} from "../bench/places-run.js"
 
 function createLinks(loss: number, draw: () => number): Links {
-  return new Links({bytesPerMs: 100, delayMs: 2, loss, draw})
+  return new Links({uplinkBytesPerMs: 100, delayMs: 2, lossRatio: loss, draw})
 }
 
 t.test("messages share the leader's line, whatever box they go to", async t => {
@@ -25,7 +25,7 @@
 
 t.test("nothing reaches a box while it is cut off", async t => {
   const links = createLinks(0, () => 0.5)
-  links.cut(0, 10, 500)
+  links.addOutage(0, 10, 500)
   t.equal(links.send(0, 100, 0), 3)
   t.equal(links.send(0, 100, 20), 500)
   t.equal(links.send(0, 100, 600), 603)
@@ -34,11 +34,11 @@
 t.test("a run counts what a leader and its boxes tell each other", async t => {
   const size = {boxes: 9, engines: 9, adapters: 200, requestsPerS: 100, lengthMs: 1_000}
   const run = new PlacesRun(size)
-  t.ok(run.tellPicture().length > 0)
+  t.ok(run.sendSnapshot().length > 0)
   const counted = run.run()
   t.equal(counted.countedMs, size.lengthMs)
   t.ok(counted.loads > 0, `${counted.loads} loads`)
   t.ok(counted.leaderBytes >= size.boxes * counted.boxBytes)
-  t.ok(counted.heardMessages > counted.needs)
+  t.ok(counted.receivedMessages > counted.weightsRequests)
   t.ok(counted.ageP50Ms <= counted.ageP99Ms)
 })
--- a/test/server-notices.test.ts
+++ b/test/server-notices.test.ts
@@ -72,14 +72,14 @@
       const subject = new Subject(bed)
       await subject.callFor(500)
       await subject.callFor(500, "/stream/x", "a1")
-      subject.worker.drainUnheard()
-      bed.engines[0]?.drainUnheard()
+      subject.worker.drainInAnswersOnly()
+      bed.engines[0]?.drainInAnswersOnly()
       await Promise.all([
         subject.callFor(4_000),
         subject.callFor(4_000, "/stream/x", "a1"),
         subject.callFor(4_000, "/stream/x", "a2")
       ])
-      t.ok(bed.judge.leaves.length > 0, "it announced leaving")
+      t.ok(bed.judge.leavingNotices.length > 0, "it announced leaving")
       t.same(subject.violations(), [])
     }
   )
@@ -88,11 +88,11 @@
     const bed = await PlatformBed.start({boxes: 1, engines: 1, plain: 1})
     t.teardown(() => bed.stop())
     const subject = new Subject(bed)
-    subject.worker.drainUnheard()
+    subject.worker.drainInAnswersOnly()
     await subject.callFor(500)
     t.equal((await subject.call()).status, 503, "there is no other server")
     await subject.worker.restart()
-    subject.worker.resume()
+    subject.worker.resumeHeartbeats()
     await until(
       "a request is served",
       async () => (await subject.call()).status === 200,
@@ -106,7 +106,7 @@
     const subject = new Subject(bed)
     subject.worker.faults = {shedding: true, retryAfter: "2"}
     const outcomes = await subject.callFor(5_000)
-    t.ok(bed.judge.rests.length > 0, "it requested a back-off")
+    t.ok(bed.judge.backOffs.length > 0, "it requested a back-off")
     t.same(subject.violations(), [])
     t.same(
       outcomes.filter(({status}) => status !== 200),
--- a/test/server-rates.test.ts
+++ b/test/server-rates.test.ts
@@ -59,13 +59,17 @@
 
   violations(): string[] {
     const {judge} = this.bed
-    return judgeRates(judge, {calls: this.calls, exemptions: [], restarts: judge.reborn})
+    return judgeRates(judge, {
+      calls: this.calls,
+      exemptions: [],
+      restarts: judge.restarts
+    })
   }
 
   /** Requests that reached the worker within the last span. */
   lately(worker: StandInWorker): number {
     const from = performance.now() - SPAN_MS
-    return this.bed.judge.arrived.filter(
+    return this.bed.judge.arrivedRequests.filter(
       each => each.worker === worker.id && each.at > from
     ).length
   }
@@ -106,7 +110,7 @@
     const subject = await open(t, {boxes: 4, engines: 2, plain: 1})
     await subject.callFor(300, "/stream/x", "a1")
     const engine = subject.holder("a1")
-    engine.nameRate("1.2")
+    engine.advertiseRate("1.2")
     const outcomes = await subject.callFor(8_000, "/stream/x", "a1")
     t.same(subject.violations(), [])
     t.ok(subject.lately(engine) <= 6, `${subject.lately(engine)} in the last 4 s`)
@@ -120,7 +124,7 @@
       const subject = await open(t, {boxes: 4, engines: 1, plain: 1})
       const [worker] = subject.bed.plain as [StandInWorker]
       await subject.callFor(300, "/safe/x")
-      worker.nameRate("2.5")
+      worker.advertiseRate("2.5")
       await subject.callFor(4_500, "/safe/x")
       const outcomes = await subject.callFor(5_000, "/safe/x")
       t.same(subject.violations(), [])
@@ -148,9 +152,9 @@
   t.test("an answer that names none ends it everywhere", async t => {
     const subject = await open(t, {boxes: 3, engines: 1, plain: 1})
     const [worker] = subject.bed.plain as [StandInWorker]
-    worker.nameRate("1")
+    worker.advertiseRate("1")
     await subject.callFor(2_000, "/safe/x")
-    worker.nameRate(undefined)
+    worker.advertiseRate(undefined)
     await until("all is served", async () => {
       const outcomes = await Promise.all([1, 2, 3].map(() => subject.call("/safe/x")))
       return served(outcomes) === outcomes.length
@@ -162,10 +166,10 @@
   t.test("the next life of a server has named nothing", async t => {
     const subject = await open(t, {boxes: 2, engines: 1, plain: 1})
     const [worker] = subject.bed.plain as [StandInWorker]
-    worker.nameRate("0")
+    worker.advertiseRate("0")
     await subject.callFor(500, "/safe/x")
     t.equal(served(await subject.callFor(500, "/safe/x")), 0, "it takes nothing")
-    worker.nameRate(undefined)
+    worker.advertiseRate(undefined)
     await worker.restart()
     await until(
       "it is served",
@@ -180,12 +184,12 @@
     const subject = await open(t, {boxes: 1, engines: 1, plain: 1})
     const [worker] = subject.bed.plain as [StandInWorker]
     for (const rate of ["-1", "NaN", "1e9", "", "many", "9".repeat(400)]) {
-      worker.nameRate(rate)
+      worker.advertiseRate(rate)
       const outcomes = await subject.callFor(200, "/safe/x")
       t.equal(served(outcomes), outcomes.length, `after "${rate.slice(0, 10)}"`)
     }
     t.match(subject.bed.logs(), /"event":230/, "the log tells it")
-    worker.nameRate(["400", "0.5"])
+    worker.advertiseRate(["400", "0.5"])
     await subject.callFor(500, "/safe/x")
     const outcomes = await subject.callFor(1_000, "/safe/x")
     t.ok(served(outcomes) < 3, "named twice, the lower one counts")
--- a/test/stand-in-engine.test.ts
+++ b/test/stand-in-engine.test.ts
@@ -179,7 +179,7 @@
 )
 
 t.test("an engine may run a queued request after its connection has closed", async t => {
-  const fixture = await EngineFixture.start({keepsClosed: true})
+  const fixture = await EngineFixture.start({runsClosedRequests: true})
   t.teardown(() => fixture.stop())
   await fixture.load(1)
   const sent = await fixture.queue("r-1")
@@ -230,7 +230,7 @@
 })
 
 t.test("queued requests are lost when the engine restarts", async t => {
-  const fixture = await EngineFixture.start({keepsClosed: true})
+  const fixture = await EngineFixture.start({runsClosedRequests: true})
   t.teardown(() => fixture.stop())
   await fixture.load(1)
   const sent = await fixture.queue("r-1")
--- a/test/stand-ins/named-rates.ts
+++ b/test/stand-ins/advertised-rates.ts
@@ -1,25 +1,25 @@
 /** Rate limits that stand-in workers advertise in their answers. */
 
 /** An answer of a worker that advertised its rate limit. */
-export interface Told {
+export interface RateNotice {
   /** Id of the answered request. */
   readonly id: string
   readonly at: number
 }
 
 /** A period in which all answers of a worker advertise a rate limit. */
-export interface NamedRate {
+export interface AdvertisedRate {
   readonly worker: string
   /** Requests per second from all boxes together. */
   readonly perSecond: number
   readonly from: number
   /** Infinity while the worker still advertises it. */
   to: number
-  readonly told: Told[]
+  readonly notices: RateNotice[]
 }
 
-export class NamedRates {
-  readonly all: NamedRate[] = []
+export class AdvertisedRates {
+  readonly all: AdvertisedRate[] = []
 
   /** Records what the worker advertises from now on. Invalid values mean no limit. */
   set(worker: string, rate: string | readonly string[] | undefined): void {
@@ -29,15 +29,15 @@
     if (current?.perSecond === perSecond) return
     if (current) current.to = now
     if (perSecond === undefined) return
-    this.all.push({worker, perSecond, from: now, to: Infinity, told: []})
+    this.all.push({worker, perSecond, from: now, to: Infinity, notices: []})
   }
 
   /** Records that the worker's answer to the request is sent now. */
-  told(worker: string, id: string): void {
-    this.current(worker)?.told.push({id, at: performance.now()})
+  recordNotice(worker: string, id: string): void {
+    this.current(worker)?.notices.push({id, at: performance.now()})
   }
 
-  private current(worker: string): NamedRate | undefined {
+  private current(worker: string): AdvertisedRate | undefined {
     return this.all.find(rate => rate.worker === worker && rate.to === Infinity)
   }
 }
--- a/test/stand-ins/platform-judge.ts
+++ b/test/stand-ins/platform-judge.ts
@@ -1,5 +1,5 @@
 /** Records what all stand-in workers observed, to be judged after a test. */
-import {NamedRates} from "./named-rates.js"
+import {AdvertisedRates} from "./advertised-rates.js"
 
 /** One execution of a request on a worker. */
 export interface Run {
@@ -21,7 +21,7 @@
 }
 
 /** An order received by an engine. */
-export interface TakenOrder {
+export interface ReceivedOrder {
   readonly worker: string
   readonly holder: string
   readonly fence: number
@@ -29,7 +29,7 @@
 }
 
 /** A request that arrived at a worker, whether or not it ran there. */
-export interface Arrived {
+export interface ArrivedRequest {
   readonly id: string
   readonly worker: string
   readonly body: string
@@ -45,7 +45,7 @@
 }
 
 /** A worker refused a request and asked its sender to back off. */
-export interface Rest {
+export interface BackOff {
   readonly id: string
   readonly worker: string
   readonly seconds: number
@@ -53,7 +53,7 @@
 }
 
 /** An answer of a worker announced that the worker leaves. */
-export interface Leave {
+export interface LeavingNotice {
   readonly id: string
   readonly worker: string
   readonly at: number
@@ -61,20 +61,20 @@
 
 export class Judge {
   readonly runs: Run[] = []
-  readonly arrived: Arrived[] = []
+  readonly arrivedRequests: ArrivedRequest[] = []
   readonly crashes: Crash[] = []
-  readonly rests: Rest[] = []
+  readonly backOffs: BackOff[] = []
   /** Starts of new incarnations, to which notices of the former ones don't apply. */
-  readonly reborn: {readonly worker: string; readonly at: number}[] = []
-  readonly leaves: Leave[] = []
-  readonly rates = new NamedRates()
-  readonly orders: TakenOrder[] = []
+  readonly restarts: {readonly worker: string; readonly at: number}[] = []
+  readonly leavingNotices: LeavingNotice[] = []
+  readonly rates = new AdvertisedRates()
+  readonly orders: ReceivedOrder[] = []
   readonly violations: string[] = []
   /** Unloads ordered while requests ran. Harmless because they wait, but useless. */
   unloadsInUse = 0
   private readonly fences_ = new Map<string, {fence: number; holder: string}>()
 
-  order(worker: string, holder: string, fence: number): void {
+  recordOrder(worker: string, holder: string, fence: number): void {
     this.orders.push({worker, holder, fence, at: performance.now()})
     const known = this.fences_.get(worker)
     if (known && known.fence === fence && known.holder !== holder) {
--- a/test/stand-ins/platform-store.ts
+++ b/test/stand-ins/platform-store.ts
@@ -40,9 +40,9 @@
 /** A drill: an outage of the store and its restore from an older backup. */
 export interface Drill {
   /** Age of the backup when the store is restored. */
-  readonly copyAgeMs: number
+  readonly backupAgeMs: number
   /** Length of the outage before the restore. */
-  readonly awayMs: number
+  readonly outageMs: number
   /**
    * Time from the restore until operators repeat their writes that the backup lacks.
    * Undefined means never. Backend servers write with their next heartbeat.
@@ -51,7 +51,7 @@
   /** Whether operators repeat their writes in reverse order. */
   readonly reversed?: boolean
   /** Called in the turn of the restore, before any call is answered. */
-  readonly returned?: () => void
+  readonly onRestored?: () => void
 }
 
 interface Watch {
@@ -91,7 +91,7 @@
   faults: StoreFaults = {}
   calls = 0
   /** Formats the era header. Answers carry none if it returns undefined. */
-  tellEra: (era: number) => string | undefined = String
+  formatEra: (era: number) => string | undefined = String
   private era_ = 1
   private isAway_ = false
   private readonly undo_: UndoRecord[] = []
@@ -182,12 +182,12 @@
     for (const {res} of this.watches_) res.destroy()
     this.watches_.clear()
     this.server_.closeAllConnections()
-    await new Promise(resolve => setTimeout(resolve, drill.awayMs))
-    const lostWrites = this.restoreState(performance.now() - drill.copyAgeMs)
+    await new Promise(resolve => setTimeout(resolve, drill.outageMs))
+    const lostWrites = this.restoreState(performance.now() - drill.backupAgeMs)
     this.era_++
     this.isAway_ = false
     const restoredAt = performance.now()
-    drill.returned?.()
+    drill.onRestored?.()
     this.expireSilentEntries()
     if (drill.rewriteMs === undefined) return
     if (drill.reversed) lostWrites.reverse()
@@ -394,7 +394,7 @@
 
   private answer(res: ServerResponse, status: number, body: object): void {
     const text = JSON.stringify(body)
-    const era = this.tellEra(this.era_)
+    const era = this.formatEra(this.era_)
     res.writeHead(status, {
       ...(era === undefined ? {} : {"store-era": era}),
       "content-type": "application/json",
--- a/test/stand-ins/platform-worker.ts
+++ b/test/stand-ins/platform-worker.ts
@@ -50,7 +50,7 @@
 }
 
 /** A proxy in front of a worker. It accepts no connections while the worker is down. */
-export interface WorkerFront {
+export interface WorkerProxy {
   readonly down: () => Promise<void>
   readonly up: () => Promise<void>
 }
@@ -65,7 +65,7 @@
   readonly gapMs?: number
   readonly loadMs?: number
   /** Whether queued requests begin though their connections have closed. */
-  readonly keepsClosed?: boolean
+  readonly runsClosedRequests?: boolean
   /** Time from a crash until it starts again under its id. */
   readonly downMs?: number
 }
@@ -89,9 +89,9 @@
   readonly id = `i-${randomUUID().slice(0, 8)}`
   readonly adapters = new Map<string, number>()
   /** Address of a proxy, which its entry names in place of its own address. */
-  announced: string | undefined
+  announcedAddress: string | undefined
   /** The proxy at that address. */
-  front: WorkerFront | undefined
+  proxy: WorkerProxy | undefined
   private isDown_ = false
   private isStopped_ = false
   /** When it announced that it leaves, or removed its entry unannounced. */
@@ -141,7 +141,7 @@
    * Sets the rate limit header of its answers. Several values are sent as several
    * headers. Undefined means no header.
    */
-  nameRate(rate: string | readonly string[] | undefined): void {
+  advertiseRate(rate: string | readonly string[] | undefined): void {
     this.rate_ = rate
     this.judge_.rates.set(this.id, rate)
   }
@@ -182,7 +182,7 @@
         ? this.startedAt_ - bornBefore
         : Math.max(Date.now(), this.startedAt_ + 1)
     this.resetState()
-    this.judge_.reborn.push({worker: this.id, at: performance.now()})
+    this.judge_.restarts.push({worker: this.id, at: performance.now()})
     this.state_ = "ready"
     this.server_ = this.createServer()
     await this.listen(moved ? 0 : port)
@@ -195,13 +195,13 @@
     this.isDown_ = true
     const at = performance.now()
     this.judge_.crashes.push({worker: this.id, body, at})
-    this.judge_.reborn.push({worker: this.id, at})
+    this.judge_.restarts.push({worker: this.id, at})
     const {port} = this.server_.address() as AddressInfo
     const expiry = setTimeout(
       () => this.store_.remove(`servers/${this.id}`),
       ENTRY_EXPIRY_MS
     )
-    void this.front?.down()
+    void this.proxy?.down()
     this.server_.close()
     for (const socket of this.sockets_) socket.destroy()
     this.resetState()
@@ -217,7 +217,7 @@
     this.state_ = "ready"
     this.server_ = this.createServer()
     await this.listen(port)
-    await this.front?.up()
+    await this.proxy?.up()
     this.isDown_ = false
     this.writeHeartbeat()
   }
@@ -259,29 +259,29 @@
   }
 
   /** Announces only in its answers that it leaves, and stops writing its entry. */
-  drainUnheard(): void {
+  drainInAnswersOnly(): void {
     this.state_ = "draining"
     this.areHeartbeatsPaused_ = true
   }
 
   /** Removes its entry unannounced, but continues to serve. */
-  vanish(): void {
+  removeEntry(): void {
     clearInterval(this.timer_)
     this.drainedAt = performance.now()
     this.store_.remove(`servers/${this.id}`)
   }
 
   /** Stops writing its entry until `resumeHeartbeats`. */
-  hold(): void {
+  pauseHeartbeats(): void {
     this.areHeartbeatsPaused_ = true
   }
 
-  resume(): void {
+  resumeHeartbeats(): void {
     this.areHeartbeatsPaused_ = false
     this.writeHeartbeat()
   }
 
-  announce(): void {
+  writeEntry(): void {
     this.writeHeartbeat()
   }
 
@@ -290,7 +290,7 @@
     const {service, dataCentre, model} = this.options_
     this.store_.write(`servers/${this.id}`, {
       service,
-      address: this.announced ?? this.address,
+      address: this.announcedAddress ?? this.address,
       zone: dataCentre,
       version: "v1",
       slots: 96,
@@ -326,7 +326,7 @@
     if (req.url === "/order") return this.receiveOrder(JSON.parse(body) as Order, res)
     if (faults.mute) return
     const id = String(req.headers["x-request-id"])
-    this.judge_.arrived.push({id, worker: this.id, body, at: performance.now()})
+    this.judge_.arrivedRequests.push({id, worker: this.id, body, at: performance.now()})
     if (faults.shedding) return this.shed(id, res)
     if (this.options_.model) return this.generate(id, body, req, res)
     this.serve(id, body, req, res)
@@ -338,7 +338,7 @@
     if (retryAfter === undefined) return this.reply(res, 503, headers, "")
     const seconds = Number(retryAfter)
     if (seconds > 0) {
-      this.judge_.rests.push({id, worker: this.id, seconds, at: performance.now()})
+      this.judge_.backOffs.push({id, worker: this.id, seconds, at: performance.now()})
     }
     this.reply(res, 503, {...headers, "retry-after": retryAfter}, "")
   }
@@ -364,11 +364,11 @@
   /** Records the notices (see `noticeHeaders`) in the answer to a request. */
   private recordNotices(id: string): void {
     if (this.state_ === "draining") this.recordLeaving(id)
-    this.judge_.rates.told(this.id, id)
+    this.judge_.rates.recordNotice(this.id, id)
   }
 
   private recordLeaving(id: string): void {
-    this.judge_.leaves.push({id, worker: this.id, at: performance.now()})
+    this.judge_.leavingNotices.push({id, worker: this.id, at: performance.now()})
   }
 
   private noticeHeaders(): Readonly<Record<string, string | string[]>> {
@@ -426,7 +426,7 @@
       res,
       waitMs: queueMs,
       deadlineMs: Number(req.headers["x-request-deadline"] ?? Infinity),
-      keepsClosed: this.options_.keepsClosed === true,
+      keepsClosed: this.options_.runsClosedRequests === true,
       // The adapters loaded when the request begins are decisive.
       begin: () => {
         if (!this.refuseIfUnservable(id, req, res)) this.run(id, body, req, res, reached)
@@ -592,7 +592,7 @@
   }
 
   private checkOrder(order: Order): number {
-    this.judge_.order(this.id, order.holder, order.fencingToken)
+    this.judge_.recordOrder(this.id, order.holder, order.fencingToken)
     if (order.fencingToken < this.fence_) return STALE_FENCE
     this.fence_ = order.fencingToken
     if (order.expectedRev !== undefined && order.expectedRev !== this.sequence_)
--- a/test/store-era-starts.test.ts
+++ b/test/store-era-starts.test.ts
@@ -68,10 +68,10 @@
     // The system has run for longer than the copy will be old.
     await callFor(bed, COPY_MS)
     t.ok(bed.judge.runs.some(({worker}) => worker === left.id))
-    left.vanish()
+    left.removeEntry()
     const drainedAt = performance.now()
     await sleep(WELL_MS)
-    const drill = bed.store.drill({copyAgeMs: COPY_MS, awayMs: 700})
+    const drill = bed.store.drill({backupAgeMs: COPY_MS, outageMs: 700})
     await restartAll(bed)
     await drill
     await callFor(bed, LAPSED_MS)
@@ -108,7 +108,7 @@
   await other.child.end("SIGKILL")
   leader.child.signal("SIGSTOP")
   const copyAgeMs = performance.now() - copiedAt - BEFORE_KEYS_MS / 2
-  await bed.store.drill({copyAgeMs, awayMs: 50})
+  await bed.store.drill({backupAgeMs: copyAgeMs, outageMs: 50})
   bed.restartBox(other)
   const statuses = new Set<number>()
   const end = performance.now() + STILL_MS
--- a/test/store-era.test.ts
+++ b/test/store-era.test.ts
@@ -65,7 +65,7 @@
   await sleep(1_200)
   t.ok(await isServed(bed, "a1"))
   const returned = (): void => bed.publishAdapterVersion("a1", 3)
-  await bed.store.drill({copyAgeMs: 1_400, awayMs: 100, returned})
+  await bed.store.drill({backupAgeMs: 1_400, outageMs: 100, onRestored: returned})
   await until("a request runs on version 3", async () => {
     await isServed(bed, "a1")
     return bed.judge.runs.at(-1)?.version === 3
@@ -91,7 +91,7 @@
   bed.store.faults = {deaf: true}
   bed.publishAdapterVersion("a1", 2)
   const namedAt = performance.now()
-  await bed.store.drill({copyAgeMs: 1_000, awayMs: 300})
+  await bed.store.drill({backupAgeMs: 1_000, outageMs: 300})
   await sleep(namedAt + 3_000 - performance.now())
   worker.faults = {queueMs: 2_600}
   bed.store.write("op/version/base.a1", {model: "base", adapter: "a1", version: 2})
@@ -123,7 +123,7 @@
   await bed.ready()
   t.ok(await isServed(bed, "a1"), "the second leader loads")
   const seconds = bed.judge.orders.length
-  await bed.store.drill({copyAgeMs: 12_000, awayMs: 200})
+  await bed.store.drill({backupAgeMs: 12_000, outageMs: 200})
   // By then each box has noticed, and one leads by a claim that follows the copy's.
   await sleep(2_000)
   const served = await isServed(bed, "a7")
@@ -139,10 +139,10 @@
   t.teardown(() => bed.stop())
   const [worker] = bed.plain as [StandInWorker]
   await sleep(2_500)
-  worker.vanish()
+  worker.removeEntry()
   await sleep(DRAIN_MS + 500)
   const left = performance.now()
-  await bed.store.drill({copyAgeMs: DRAIN_MS + 2_500, awayMs: 100})
+  await bed.store.drill({backupAgeMs: DRAIN_MS + 2_500, outageMs: 100})
   const end = performance.now() + 2_500
   while (performance.now() < end) {
     for (const box of bed.boxes) await bed.call(box, "/safe/x")
@@ -166,7 +166,7 @@
   })
   await sleep(1_200)
   const returned = (): void => void worker.restart({moved: true})
-  await bed.store.drill({copyAgeMs: 9_000, awayMs: 100, returned})
+  await bed.store.drill({backupAgeMs: 9_000, outageMs: 100, onRestored: returned})
   await sleep(1_200)
   await until("its third life is served", async () => {
     return (await bed.call(box, "/safe/x")).status === 200
@@ -184,7 +184,7 @@
   const other = connect()
   await sleep(300)
   const lease = await kv.grantLease(5_000)
-  await store.drill({copyAgeMs: 250, awayMs: 10})
+  await store.drill({backupAgeMs: 250, outageMs: 10})
   await other.grantLease(5_000)
   t.equal(await kv.keepAlive(lease), false)
 })
--- a/test/support/chaos-round.ts
+++ b/test/support/chaos-round.ts
@@ -1,5 +1,5 @@
 /** Chaos round: injects random faults drawn from a seed, two at a time, under load. */
-import {createDraws, runWorkload} from "../../bench/workload.js"
+import {createRandomSource, runWorkload} from "../../bench/workload.js"
 import {command, Deployment} from "./deployment.js"
 import {countViolations, judge, readEngines} from "./oracle.js"
 
@@ -124,7 +124,7 @@
 
 /** Runs one round. All random choices come from the seed. */
 export async function runChaosRound(seed: number): Promise<ChaosResult> {
-  const draw = createDraws(seed)
+  const draw = createRandomSource(seed)
   const pick: PickRandom = items => items[Math.floor(draw() * items.length)] as never
   const deployment = await Deployment.start({
     boxes: 3,
@@ -139,11 +139,11 @@
   try {
     const load = runWorkload(deployment, {
       requests: REQUEST_COUNT,
-      perSecond: REQUESTS_PER_SECOND,
-      exponent: 1.1,
+      requestsPerSecond: REQUESTS_PER_SECOND,
+      zipfExponent: 1.1,
       seed,
-      oncePart: 0.3,
-      repeatPart: 0.5,
+      onceFraction: 0.3,
+      repeatFraction: 0.5,
       maxTokens: 60
     })
     const faults = await injectFaults(deployment, pick)
--- a/test/support/core-sim.ts
+++ b/test/support/core-sim.ts
@@ -18,7 +18,7 @@
   restoreSnapshot
 } from "../../src/index.js"
 import type {SnapshotRecord} from "../../src/types/config.js"
-import {createDraws} from "../../bench/workload.js"
+import {createRandomSource} from "../../bench/workload.js"
 import type {Observation} from "./trace-checker.js"
 
 const REQUEST_MS = 400
@@ -93,7 +93,7 @@
 
   constructor(seed: number, options: Partial<SimOptions> = {}) {
     this.sim_ = {...DEFAULTS, ...options}
-    this.draw_ = createDraws(seed)
+    this.draw_ = createRandomSource(seed)
     for (let box = 0; box < this.sim_.boxes; box++) this.addBox(box, seed)
   }
 
--- a/test/support/judge-crashes.ts
+++ b/test/support/judge-crashes.ts
@@ -1,5 +1,5 @@
 /** Checks how often requests that crash backend servers still reach one. */
-import type {Arrived, Judge} from "../stand-ins/platform-judge.js"
+import type {ArrivedRequest, Judge} from "../stand-ins/platform-judge.js"
 
 /** Time within which all boxes have the report of the third crash. */
 const PROPAGATION_MS = 3_000
@@ -17,8 +17,8 @@
  * whether an arrival counts, which it does not if the box that sent it was disconnected.
  */
 export function judgeCrashes(
-  {crashes, arrived}: Judge,
-  counts: (request: Arrived) => boolean = () => true
+  {crashes, arrivedRequests: arrived}: Judge,
+  counts: (request: ArrivedRequest) => boolean = () => true
 ): string[] {
   const bodies = new Set(crashes.map(({body}) => body))
   return [...bodies].flatMap(body => {
--- a/test/support/judge-notices.ts
+++ b/test/support/judge-notices.ts
@@ -2,7 +2,7 @@
  * Checks that boxes obey the notices (leaving, back-off) in the responses of backend
  * servers.
  */
-import type {Arrived, Judge} from "../stand-ins/platform-judge.js"
+import type {ArrivedRequest, Judge} from "../stand-ins/platform-judge.js"
 
 /** Time after a notice of leaving within which requests may still be sent. */
 const DRAIN_MS = 2_000
@@ -44,7 +44,7 @@
 }
 
 function findAfterLeave(judge: Judge, record: NoticeRecord): string[] {
-  const found = judge.leaves.flatMap(({id, worker, at}) => {
+  const found = judge.leavingNotices.flatMap(({id, worker, at}) => {
     const box = record.calls.get(id)?.box
     if (box === undefined) return []
     const lateArrival = arrivalsFrom(judge, record, box, worker).find(arrived => {
@@ -61,7 +61,7 @@
 }
 
 function findDuringBackoff(judge: Judge, record: NoticeRecord): string[] {
-  const found = judge.rests.flatMap(({id, worker, at, seconds}) => {
+  const found = judge.backOffs.flatMap(({id, worker, at, seconds}) => {
     const box = record.calls.get(id)?.box
     if (box === undefined) return []
     const end = at + 1_000 * seconds
@@ -79,11 +79,11 @@
 }
 
 function arrivalsFrom(
-  {arrived}: Judge,
+  {arrivedRequests: arrived}: Judge,
   {calls}: NoticeRecord,
   box: string,
   worker: string
-): Arrived[] {
+): ArrivedRequest[] {
   return arrived.filter(
     request => request.worker === worker && calls.get(request.id)?.box === box
   )
--- a/test/support/judge-rates.ts
+++ b/test/support/judge-rates.ts
@@ -3,7 +3,7 @@
  * limit.
  */
 import type {Judge} from "../stand-ins/platform-judge.js"
-import type {NamedRate} from "../stand-ins/named-rates.js"
+import type {AdvertisedRate} from "../stand-ins/advertised-rates.js"
 import type {Exemption, NoticeRecord} from "./judge-notices.js"
 
 /** Length of the time spans in which requests are counted. */
@@ -33,11 +33,11 @@
     .slice(0, MAX_FINDINGS)
 }
 
-function judgeRate(judge: Judge, record: NoticeRecord, rate: NamedRate): string[] {
-  const {worker, perSecond, from, to, told} = rate
+function judgeRate(judge: Judge, record: NoticeRecord, rate: AdvertisedRate): string[] {
+  const {worker, perSecond, from, to, notices: told} = rate
   const allowed = (ALLOWED_FACTOR * SPAN_MS * perSecond) / 1_000 + ALLOWED_MORE
   const boxOf = (id: string): string | undefined => record.calls.get(id)?.box
-  const arrived = judge.arrived.filter(request => request.worker === worker)
+  const arrived = judge.arrivedRequests.filter(request => request.worker === worker)
   return arrived.flatMap(({at}) => {
     if (at < from + CONTACT_MS || at >= to) return []
     const count = arrived.filter(request => {
--- a/test/support/platform-bed.ts
+++ b/test/support/platform-bed.ts
@@ -141,7 +141,7 @@
         service: "engines",
         dataCentre: `dc-${index % 2}`,
         model: MODEL,
-        keepsClosed:
+        runsClosedRequests:
           this.options_.keepers === true && ++this.addedEngines_ % KEEPER_INTERVAL === 0,
         ...this.options_.engine
       },
@@ -168,9 +168,9 @@
     if (!this.options_.proxied) return
     const proxy = await FaultProxy.start(portOf(worker.address))
     this.workerProxies.push(proxy)
-    worker.announced = `127.0.0.1:${proxy.port}`
-    worker.front = {down: () => proxy.down(), up: () => proxy.up()}
-    worker.announce()
+    worker.announcedAddress = `127.0.0.1:${proxy.port}`
+    worker.proxy = {down: () => proxy.down(), up: () => proxy.up()}
+    worker.writeEntry()
   }
 
   async addBox(index = this.boxes.length): Promise<BedBox> {
--- a/test/support/soak-drill-faults.ts
+++ b/test/support/soak-drill-faults.ts
@@ -85,8 +85,8 @@
     if (this.isDrilling_) return
     this.isDrilling_ = true
     const drill: Drill = {
-      copyAgeMs: this.drawFrom(BACKUP_AGE_MS),
-      awayMs: this.drawFrom(DOWNTIME_MS),
+      backupAgeMs: this.drawFrom(BACKUP_AGE_MS),
+      outageMs: this.drawFrom(DOWNTIME_MS),
       rewriteMs: this.drawFrom(REWRITE_DELAY_MS),
       reversed: this.draws_.draw() < 0.5
     }
@@ -95,7 +95,7 @@
       this.record_.restores.push(performance.now())
       this.record_.storeFaults.end()
     }
-    await this.bed_.store.drill({...drill, returned})
+    await this.bed_.store.drill({...drill, onRestored: returned})
     this.isDrilling_ = false
   }
 
--- a/test/support/soak-faults.ts
+++ b/test/support/soak-faults.ts
@@ -233,9 +233,9 @@
    */
   private spoilEntry(): void {
     const worker = this.draws_.pick(this.workers())
-    worker.hold()
+    worker.pauseHeartbeats()
     this.writeForeign(worker.id)
-    setTimeout(() => worker.resume(), 300 + 2_000 * this.draws_.draw())
+    setTimeout(() => worker.resumeHeartbeats(), 300 + 2_000 * this.draws_.draw())
   }
 
   private workers(): StandInWorker[] {
--- a/test/support/soak-judge-incidents.ts
+++ b/test/support/soak-judge-incidents.ts
@@ -40,8 +40,12 @@
   const exemptions = [...record.exemptions, ...linkFaultExemptions(record)]
   return [
     ...judgeCrashes(judge, ({id, at}) => isConnected(id, at)),
-    ...judgeNotices(judge, {calls, exemptions, restarts: judge.reborn}),
-    ...judgeRates(judge, {calls, exemptions: record.exemptions, restarts: judge.reborn}),
+    ...judgeNotices(judge, {calls, exemptions, restarts: judge.restarts}),
+    ...judgeRates(judge, {
+      calls,
+      exemptions: record.exemptions,
+      restarts: judge.restarts
+    }),
     ...record.crashing.flatMap(call => judgeCrashingCall(judge, call))
   ]
 }
--- a/test/support/soak-rate-faults.ts
+++ b/test/support/soak-rate-faults.ts
@@ -59,7 +59,7 @@
   /** Ends all rate limits. */
   endAll(): void {
     for (const worker of [...this.bed_.engines, ...this.bed_.plain]) {
-      worker.nameRate(undefined)
+      worker.advertiseRate(undefined)
     }
   }
 
@@ -96,7 +96,7 @@
     const {engines} = this.bed_
     if (engines.some(engine => engine.rate !== undefined)) return
     this.record_.faults.push({name: "engine-keeps-rate", at: performance.now()})
-    engines[0]?.nameRate(this.rate(SINGLE_PER_S))
+    engines[0]?.advertiseRate(this.rate(SINGLE_PER_S))
   }
 
   private advertiseAll(): void {
@@ -107,10 +107,10 @@
   private advertiseTemporarily(worker: StandInWorker, rate: string): void {
     // A rate limit that is already advertised stays.
     if (worker.rate !== undefined) return
-    worker.nameRate(rate)
+    worker.advertiseRate(rate)
     this.temporary_.add(worker)
     setTimeout(() => {
-      if (this.temporary_.delete(worker)) worker.nameRate(undefined)
+      if (this.temporary_.delete(worker)) worker.advertiseRate(undefined)
     }, this.drawFrom(DURATION_MS))
   }
 
--- a/test/support/trace-checker.ts
+++ b/test/support/trace-checker.ts
@@ -41,7 +41,7 @@
   grant: {types: ["grant"]},
   inventory: {
     types: ["inventory", "inventoryLate"],
-    holds: (s, k) => s.keepers[k].owns > 0 && s.keepers[k].heardEntry
+    holds: (s, k) => s.keepers[k].ownedFence > 0 && s.keepers[k].hasInventory
   },
   release: {
     types: ["release"],
@@ -121,7 +121,7 @@
 }
 
 function isCurrent({keepers, entry}: State, keeper: 0 | 1): boolean {
-  return keepers[keeper].owns === entry.fence
+  return keepers[keeper].ownedFence === entry.fence
 }
 
 function add(states: Map<string, State>, state: State): void {
--- a/test/suspensions.test.ts
+++ b/test/suspensions.test.ts
@@ -42,7 +42,7 @@
  * none.
  */
 function lastReachedMs(bed: PlatformBed, worker: StandInWorker): number {
-  const ages = bed.judge.arrived
+  const ages = bed.judge.arrivedRequests
     .filter(request => request.worker === worker.id)
     .map(request => Math.round(request.at - (worker.drainedAt ?? Infinity)))
   return Math.max(0, ...ages)
