--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -1,4 +1,4 @@
-/** The right answer to the right caller; refusals at once; leaving backend servers. */
+/** Correct answers, immediate refusals, and no new requests for leaving servers. */
 import {request} from "undici"
 import t from "tap"
 import {Calls} from "./support/calls.js"
@@ -6,7 +6,7 @@
 import {readEngines} from "./support/oracle.js"
 import {until} from "./support/wait.js"
 
-t.test("an answer of another adapter is never passed on", async t => {
+t.test("an answer from the wrong adapter is never forwarded", async t => {
   const deployment = await Deployment.start()
   t.teardown(() => deployment.stop())
   const calls = new Calls(deployment)
@@ -40,7 +40,7 @@
   }
 )
 
-t.test("a broken stream is resumed where the engine can, and runs once", async t => {
+t.test("a broken stream is resumed if the engine supports it, and runs once", async t => {
   const deployment = await Deployment.start({
     engines: [{slots: 1, resumes: true}],
     adapters: 2
@@ -51,7 +51,7 @@
   const [engine] = deployment.engines
   if (!box || !engine) return
   const long = calls.send(box, {tokens: 300, key: "letter", tag: "long"})
-  await until("it runs", async () => (await calls.startsOf("long")).length > 0)
+  await until("the request runs", async () => (await calls.startsOf("long")).length > 0)
   engine.proxy.cut()
   engine.proxy.set({refuse: true})
   await until("the connection broke", () => box.entry.output.includes('"event":155'))
@@ -63,7 +63,7 @@
   t.equal(await calls.violations(), "")
 })
 
-t.test("a refused resume is neither passed on nor taken for 'not run'", async t => {
+t.test("a refused resume is neither forwarded nor reported as 'not run'", async t => {
   const deployment = await Deployment.start({engines: [{resumes: true}]})
   t.teardown(() => deployment.stop())
   const calls = new Calls(deployment)
@@ -80,18 +80,18 @@
     await command(engine, "fault", {refuseResume})
     const tag = `resume-${index}`
     const call = calls.send(box, {tokens: 300, tag, key: tag})
-    await until("it runs", async () => (await calls.startsOf(tag)).length > 0)
+    await until("the request runs", async () => (await calls.startsOf(tag)).length > 0)
     engine.proxy.cut()
     const {kind, code, outcome} = await call
-    // Cut before its first byte, or after it.
+    // Broken if cut after the first byte of the answer, backend-lost if cut before it.
     const isLost = kind === "broken" || (code === "backend-lost" && outcome === "unknown")
     t.ok(isLost, `${JSON.stringify(refuseResume)}: ${kind} ${code}`)
   }
-  t.match(await calls.send(box, {}), {kind: "answered"}, "the entry goes on")
+  t.match(await calls.send(box, {}), {kind: "answered"}, "the entry still serves")
   t.equal(await calls.violations(), "")
 })
 
-t.test("a pin outlives a connection that was cut one way only", async t => {
+t.test("a pin outlives a connection that is blocked in one direction", async t => {
   const deployment = await Deployment.start({
     engines: [{slots: 1, fences: false}],
     adapters: 2
@@ -103,8 +103,8 @@
   if (!box || !engine) return
   const abort = new AbortController()
   const first = calls.send(box, {tokens: 300, signal: abort.signal, tag: "first"})
-  await until("it runs", async () => (await calls.startsOf("first")).length > 0)
-  // The engine does not learn that the caller has hung up, nor of the cancel.
+  await until("the request runs", async () => (await calls.startsOf("first")).length > 0)
+  // The engine receives neither the caller's disconnect nor the cancellation.
   engine.proxy.set({blockUp: true})
   abort.abort()
   await first
@@ -116,7 +116,7 @@
 })
 
 t.test(
-  "failed loads are tried again; those who cannot wait are answered at once",
+  "failed loads are retried; requests that cannot wait are refused at once",
   async t => {
     const deployment = await Deployment.start({timing: {loadBackoffMs: 600}})
     t.teardown(() => deployment.stop())
@@ -125,30 +125,30 @@
     const [engine] = deployment.engines
     if (!box || !engine) return
     await command(engine, "fault", {failLoads: 1})
-    const [hurried, patient] = await Promise.all([
+    const [shortDeadline, longDeadline] = await Promise.all([
       calls.send(box, {deadlineMs: 500}),
       calls.send(box, {deadlineMs: 5_000})
     ])
-    t.match(hurried, {
+    t.match(shortDeadline, {
       kind: "refused",
       code: "load-failed",
       outcome: "not-run",
       retryAfter: "1"
     })
-    t.ok(hurried.elapsedMs < 450, "not held back until its deadline")
-    t.match(patient, {kind: "answered"})
+    t.ok(shortDeadline.elapsedMs < 450, "refused before its deadline")
+    t.match(longDeadline, {kind: "answered"})
     await command(engine, "fault", {failLoads: 3})
-    const [failing, unharmed] = await Promise.all([
+    const [failing, unaffected] = await Promise.all([
       calls.send(box, {model: deployment.models[1], deadlineMs: 300}),
       calls.send(box, {model: deployment.models[0]})
     ])
     t.match(failing, {kind: "refused", code: "load-failed"})
-    t.match(unharmed, {kind: "answered"})
+    t.match(unaffected, {kind: "answered"})
   }
 )
 
 t.test(
-  "a leaving engine gets nothing new, by the platform's word or its own",
+  "a leaving engine gets no new requests, whether it or the platform reports it",
   async t => {
     const deployment = await Deployment.start({engines: [{}, {}], adapters: 6})
     t.teardown(() => deployment.stop())
@@ -167,11 +167,11 @@
     }
     await sendAll()
     const long = calls.send(box, {model: deployment.models[0], tokens: 300, tag: "long"})
-    await until("it runs", async () => (await calls.startsOf("long")).length > 0)
-    // The box list says so late, and then nothing at all: its last word stays in force.
+    await until("the request runs", async () => (await calls.startsOf("long")).length > 0)
+    // The box list reports it late and then fails; the last list stays in force.
     await command(deployment.platform, "list-fault", {lagMs: 500})
     await command(deployment.platform, "leaving", [first.name])
-    await until("the keeper knows", async () => {
+    await until("the keeper has the engine as leaving", async () => {
       const {cells} = await getJson(`http://${box.keeperOps}/state`)
       return cells[0].engines.some((engine: {leaving: boolean}) => engine.leaving)
     })
@@ -179,7 +179,7 @@
     const leftAt = Date.now()
     await sendAll()
     t.equal(await startsAt(first.name, leftAt), 0)
-    t.match(await long, {kind: "answered", tokens: 300}, "what is in progress finishes")
+    t.match(await long, {kind: "answered", tokens: 300}, "requests in progress finish")
 
     await command(deployment.platform, "list-fault")
     await command(deployment.platform, "leaving", [])
@@ -192,7 +192,7 @@
 )
 
 t.test(
-  "a plain service is called, its refusals retried elsewhere, its losses not repeated",
+  "a plain service is called; refusals are retried elsewhere, lost calls are not",
   async t => {
     const deployment = await Deployment.start({serviceMembers: 2})
     t.teardown(() => deployment.stop())
@@ -214,7 +214,7 @@
     }
     const runs = async () => {
       const logs = await Promise.all(
-        [one, two].map(it => getJson(`${it.url}/stand-in/log`))
+        [one, two].map(service => getJson(`${service.url}/stand-in/log`))
       )
       return logs.flatMap(log => log.serviceLog).length
     }
@@ -230,6 +230,6 @@
       status: 502,
       outcome: "unknown"
     })
-    t.equal((await runs()) - before, 2, "each ran once")
+    t.equal((await runs()) - before, 2, "each request ran once")
   }
 )
--- a/test/bad-input.test.ts
+++ b/test/bad-input.test.ts
@@ -1,4 +1,4 @@
-/** Bad input gets a clear error, and the process and other requests go on. */
+/** Invalid input gets a clear error, and the process keeps serving other requests. */
 import {connect} from "node:net"
 import {request} from "undici"
 import t from "tap"
@@ -6,7 +6,7 @@
 import {agent, Deployment, keyOf} from "./support/deployment.js"
 import {until} from "./support/wait.js"
 
-t.test("bad input is answered, and the entry goes on", async t => {
+t.test("invalid input is refused, and the entry keeps serving", async t => {
   const deployment = await Deployment.start({
     organisations: ["cotejo", "tatrapay"],
     serviceMembers: 1,
@@ -30,7 +30,7 @@
     const problem = (await answer.body.json()) as Record<string, unknown>
     return {...problem, status: answer.statusCode, type: answer.headers["content-type"]}
   }
-  const ask = (fields: object) => JSON.stringify({model, max_tokens: 2, ...fields})
+  const bodyOf = (fields: object) => JSON.stringify({model, max_tokens: 2, ...fields})
 
   t.match(await send("{"), {
     status: 400,
@@ -38,66 +38,66 @@
     outcome: "not-run",
     type: "application/problem+json"
   })
-  t.match(await send(ask({model: 3, max_tokens: "x"})), {
+  t.match(await send(bodyOf({model: 3, max_tokens: "x"})), {
     code: "bad-request",
     findings: [{place: "/model"}, {place: "/max_tokens"}]
   })
-  t.match(await send(ask({model: "base-a/base-a-a0@9"})), {
+  t.match(await send(bodyOf({model: "base-a/base-a-a0@9"})), {
     status: 404,
     code: "unknown-model"
   })
-  t.match(await send(ask({model: "nonsense"})), {status: 404, code: "unknown-model"})
+  t.match(await send(bodyOf({model: "nonsense"})), {status: 404, code: "unknown-model"})
   t.match(
-    await send(ask({model: "base-a/base-a-a1@1"})),
+    await send(bodyOf({model: "base-a/base-a-a1@1"})),
     {status: 404, code: "unknown-model"},
-    "another organisation's adapter is not named as existing"
+    "the existence of another organisation's adapter is not disclosed"
   )
-  t.match(await send(ask({prompt: "x".repeat(20_000)})), {
+  t.match(await send(bodyOf({prompt: "x".repeat(20_000)})), {
     status: 413,
     code: "body-too-large"
   })
-  t.match(await send(ask({}), {authorization: "Bearer wrong"}), {status: 401})
-  t.match(await send(ask({}), {"x-sedge-class": "soon"}), {
+  t.match(await send(bodyOf({}), {authorization: "Bearer wrong"}), {status: 401})
+  t.match(await send(bodyOf({}), {"x-sedge-class": "soon"}), {
     status: 400,
     code: "bad-request"
   })
-  t.match(await send(ask({}), {"x-sedge-deadline-ms": "-1"}), {status: 400})
-  t.match(await send(ask({}), {}, "/v1/nothing"), {status: 404, code: "not-found"})
-  t.match(await send(ask({}), {}, "/services/nothing/x"), {
+  t.match(await send(bodyOf({}), {"x-sedge-deadline-ms": "-1"}), {status: 400})
+  t.match(await send(bodyOf({}), {}, "/v1/nothing"), {status: 404, code: "not-found"})
+  t.match(await send(bodyOf({}), {}, "/services/nothing/x"), {
     status: 404,
     code: "not-found"
   })
 
   const key = {"idempotency-key": "letter-1"}
-  t.match(await send(ask({}), key), {status: 200}, "the first use of a key runs")
-  t.match(await send(ask({}), key), {status: 409, code: "key-answered"})
-  t.match(await send(ask({prompt: "other"}), key), {status: 422, code: "key-reused"})
+  t.match(await send(bodyOf({}), key), {status: 200}, "the first use of a key runs")
+  t.match(await send(bodyOf({}), key), {status: 409, code: "key-answered"})
+  t.match(await send(bodyOf({prompt: "other"}), key), {status: 422, code: "key-reused"})
 
   t.match(await sendRaw(entry, "POST /v1/completions HTTP/1.1\r\nhost: x\r\n"), /408/)
   t.match(await sendRaw(entry, "nonsense\r\n\r\n"), /400 Bad Request/)
 
-  const hangUp = new AbortController()
+  const disconnect = new AbortController()
   const slow = callModel({
     entry,
     model,
     organisation: "cotejo",
     tokens: 5000,
-    signal: hangUp.signal
+    signal: disconnect.signal
   })
   await until("the request runs", async () => {
     const metrics = await request(`http://${deployment.boxes[0]?.entryOps}/metrics`)
     return /sedge_requests_in_progress 1/.test(await metrics.body.text())
   })
-  hangUp.abort()
+  disconnect.abort()
   t.match(await slow, {kind: "cut"})
-  await until("the hang-up reached the engine", async () => {
+  await until("the disconnect ended the request", async () => {
     const metrics = await request(`http://${deployment.boxes[0]?.entryOps}/metrics`)
     return /sedge_requests_in_progress 0/.test(await metrics.body.text())
   })
   t.match(await callModel({entry, model, organisation: "cotejo"}), {kind: "answered"})
 })
 
-/** Sends bytes as they are, and reads until the other end closes. */
+/** Sends raw bytes and returns what arrives until the other side closes. */
 function sendRaw(address: string, bytes: string): Promise<string> {
   const [host, port] = address.split(":")
   return new Promise((resolve, reject) => {
