--- a/test/bundle.test.ts
+++ b/test/bundle.test.ts
@@ -13,7 +13,7 @@
   execFileSync(process.execPath, ["deploy/bundle.js"], {cwd: ROOT})
 })
 
-t.test("it serves engines and plain services, and reads the store", async t => {
+t.test("the bundle serves engines and plain services, and reads the store", async t => {
   const bed = await PlatformBed.start({boxes: 2, engines: 1, plain: 1, bundled: true})
   t.teardown(() => bed.stop())
   for (const box of bed.boxes as BedBox[]) {
@@ -25,8 +25,8 @@
   t.same(bed.judge.violations, [])
 })
 
-// Loading all of the package takes a fifth of the processor time of a start.
-t.test("it holds no part of its HTTP library that only browsers have", async t => {
+// Loading the whole package takes a fifth of the CPU time of a start.
+t.test("the bundle excludes the browser-only parts of its HTTP library", async t => {
   const text = readdirSync(TARGET)
     .filter(name => name.endsWith(".mjs"))
     .map(name => readFileSync(`${TARGET}/${name}`, "utf8"))
--- a/test/config-news.test.ts
+++ b/test/config-news.test.ts
@@ -1,26 +1,26 @@
 /**
- * A box that stood still looks before it routes by what it knew.
+ * After a suspension, a box refreshes its store snapshot before it routes a request.
  *
- * The class of the incidents of departures and of versions, looked for elsewhere by a review: sends wait
- * while the news is old, but the route of a request is found as it comes, by whatever table there is then.
- * The users' rule does not count machines that stood still; their callers are told 404, and do not come back.
+ * Guards against the class of faults seen with departures and versions: sends waited
+ * while the snapshot was stale, but the route was looked up on arrival in the stale table.
+ * The users' rule exempts suspended machines, but their callers got 404 and did not retry.
  */
 import t from "tap"
 import {type BedBox, PlatformBed} from "./support/platform-bed.js"
 
-/** Operators' configurations are in force everywhere by then, milliseconds. */
+/** Time within which operators' configurations are in force at all boxes. */
 const APPLIED_MS = 2_500
 
-/** From the call until the process goes on, milliseconds. */
-const LAST_MS = 300
+/** Time from the call until the process resumes. */
+const CALL_BEFORE_RESUME_MS = 300
 
-/** The store answers so late, which is past what a box waits for, and for so long, milliseconds. */
-const LATE_STORE_MS = 700
-const LATE_FOR_MS = 1_000
+/** Delay of the store's answers, longer than a box waits, and how long it lasts. */
+const STORE_DELAY_MS = 700
+const STORE_DELAY_DURATION_MS = 1_000
 
-/** A refused caller comes back after this, milliseconds, and so often at most. */
-const COME_BACK_MS = 500
-const MOST_TRIES = 6
+/** Interval and maximum number of retries after a refusal. */
+const RETRY_INTERVAL_MS = 500
+const MAX_RETRIES = 6
 
 const sleep = (ms: number): Promise<void> =>
   new Promise(resolve => setTimeout(resolve, ms))
@@ -34,38 +34,39 @@
   targetLatencyMs: 200
 }
 
-/** A box that stood still while a route was added, and is called for it just before it goes on. */
-async function callStill(bed: PlatformBed, resume: () => void): Promise<number> {
-  const frozen = bed.boxes.find(box => box !== bed.leader()) as BedBox
-  frozen.child.signal("SIGSTOP")
+/** Returns the status of a call for a route added while the box was suspended. */
+async function callPaused(bed: PlatformBed, beforeResume: () => void): Promise<number> {
+  const suspended = bed.boxes.find(box => box !== bed.leader()) as BedBox
+  suspended.child.signal("SIGSTOP")
   bed.configure([ADDED])
   await sleep(APPLIED_MS)
-  const call = bed.call(frozen, "/added/x")
-  await sleep(LAST_MS)
-  resume()
-  frozen.child.signal("SIGCONT")
+  const call = bed.call(suspended, "/added/x")
+  await sleep(CALL_BEFORE_RESUME_MS)
+  beforeResume()
+  suspended.child.signal("SIGCONT")
   let {status} = await call
-  // Callers come back after such a refusal; a box that cannot read in time answers with it.
-  for (let tries = 0; status === 503 && tries < MOST_TRIES; tries++) {
-    await sleep(COME_BACK_MS)
-    status = (await bed.call(frozen, "/added/x")).status
+  // A box that cannot read the store in time answers 503, after which callers retry.
+  for (let retries = 0; status === 503 && retries < MAX_RETRIES; retries++) {
+    await sleep(RETRY_INTERVAL_MS)
+    status = (await bed.call(suspended, "/added/x")).status
   }
   return status
 }
 
-t.test("a box that stood still answers no 404 for a route of long before", async t => {
+t.test("a suspended box answers no 404 for a route added long before", async t => {
   const bed = await PlatformBed.start({boxes: 2, engines: 1})
   t.teardown(() => bed.stop())
-  t.equal(await callStill(bed, () => undefined), 200)
+  t.equal(await callPaused(bed, () => undefined), 200)
 })
 
-// Seen once beside load: the store answered late, so that the box gave up on newer news and routed by its own.
-t.test("nor does it where the store answers late", async t => {
+// Under load the store answered late, so that the box stopped waiting for a newer
+// snapshot and routed by its stale one.
+t.test("a suspended box answers no 404 if the store answers late", async t => {
   const bed = await PlatformBed.start({boxes: 2, engines: 1})
   t.teardown(() => bed.stop())
-  const status = await callStill(bed, () => {
-    bed.store.faults = {delayMs: LATE_STORE_MS}
-    setTimeout(() => (bed.store.faults = {}), LATE_FOR_MS)
+  const status = await callPaused(bed, () => {
+    bed.store.faults = {delayMs: STORE_DELAY_MS}
+    setTimeout(() => (bed.store.faults = {}), STORE_DELAY_DURATION_MS)
   })
   t.equal(status, 200)
 })
