--- a/test/core-sim.test.ts
+++ b/test/core-sim.test.ts
@@ -1,4 +1,4 @@
-/** The core itself, three boxes under simulated time: what the specification forbids never happens. */
+/** Three boxes of the core in simulated time never violate the specification. */
 import t from "tap"
 import {CoreSim} from "./support/core-sim.js"
 import {type Observation, TraceChecker} from "./support/trace-checker.js"
@@ -16,7 +16,7 @@
 }
 
 for (let seed = 1; seed <= 4; seed++) {
-  t.test(`each step of a trace is one of the specification's, seed ${seed}`, async t => {
+  t.test(`every trace step is allowed by the specification, seed ${seed}`, async t => {
     const checker = new TraceChecker()
     // The simulated engine starts empty.
     checker.observe({what: "restart", keeper: 0})
@@ -38,8 +38,8 @@
 
 type Step = readonly [Observation["what"], 0 | 1]
 
-t.test("a trace that the specification does not allow is found", async t => {
-  const follow = (...steps: readonly Step[]) => {
+t.test("a trace that the specification does not allow is rejected", async t => {
+  const replay = (...steps: readonly Step[]) => {
     const checker = new TraceChecker()
     for (const [what, keeper] of steps) checker.observe({what, keeper})
     return checker.violation
@@ -49,14 +49,14 @@
     ["inventory", 0]
   ]
   const served: readonly Step[] = [...owned, ["grant", 0], ["starts", 0]]
-  t.equal(follow(...served, ["ends", 0], ["release", 0], ["sendUnload", 0]), undefined)
-  t.ok(follow(["claim", 0], ["sendUnload", 0]), "unloads before it heard the entry")
-  t.ok(follow(...served, ["sendUnload", 0]), "unloads what is in use")
-  t.ok(follow(...served, ["ends", 0], ["sendUnload", 0]), "unloads what is held")
-  t.ok(follow(...owned, ["sendUnload", 0], ["grant", 0]), "grants what it unloads")
+  t.equal(replay(...served, ["ends", 0], ["release", 0], ["sendUnload", 0]), undefined)
+  t.ok(replay(["claim", 0], ["sendUnload", 0]), "unloads before the entry's inventory")
+  t.ok(replay(...served, ["sendUnload", 0]), "unloads a model in use")
+  t.ok(replay(...served, ["ends", 0], ["sendUnload", 0]), "unloads a model still held")
+  t.ok(replay(...owned, ["sendUnload", 0], ["grant", 0]), "grants a model it unloads")
   t.ok(
-    follow(...owned, ["claim", 1], ["sendUnload", 0], ["claim", 1]),
+    replay(...owned, ["claim", 1], ["sendUnload", 0], ["claim", 1]),
     "claims too early"
   )
-  t.ok(follow(...owned, ["claim", 1], ["inventory", 1], ["grant", 0], ["starts", 0]))
+  t.ok(replay(...owned, ["claim", 1], ["inventory", 1], ["grant", 0], ["starts", 0]))
 })
