--- a/test/docs.test.ts
+++ b/test/docs.test.ts
@@ -1,4 +1,4 @@
-/** The pages that are made from the code are those of the code. */
+/** Pages that are generated from the code are up to date. */
 import {readFileSync} from "node:fs"
 import t from "tap"
 import {EVENTS} from "../src/events.js"
@@ -8,25 +8,25 @@
 const read = (name: string) =>
   readFileSync(new URL(`../../docs/${name}`, import.meta.url), "utf8")
 
-t.test("the catalogue of events is that of the code", async t => {
+t.test("the catalogue of events matches the code", async t => {
   t.equal(read("EVENTS.md"), renderEventsPage())
 })
 
-// Two events had the same number for a while, and logs did not tell them apart.
-t.test("each event has a number of its own", async t => {
+// Two events had the same number, so that logs did not distinguish them.
+t.test("each event has a unique number", async t => {
   const numbers = Object.values(EVENTS).map(({number}) => number)
   t.equal(new Set(numbers).size, numbers.length)
 })
 
-t.test("the table of errors is that of the code", async t => {
+t.test("the table of errors matches the code", async t => {
   t.equal(read("protocols/errors.md"), renderErrorsPage())
 })
 
-t.test("the settings reference is that of the schema", async t => {
+t.test("the settings reference matches the schema", async t => {
   t.equal(read("operators/settings.md"), renderSettingsPage())
 })
 
-t.test("the policy of the operators' page passes the check", async t => {
+t.test("the example policy of the operators' page is valid", async t => {
   const page = read("operators/policies.md")
   const policy = /```json\n([\s\S]*?)```/.exec(page)?.[1] ?? ""
   t.same(checkPolicy(JSON.parse(policy)), [])
--- a/test/foreign-entries.test.ts
+++ b/test/foreign-entries.test.ts
@@ -1,6 +1,6 @@
 /**
- * Entries of backend servers that another writer wrote: what cannot be read names no server to use,
- * and all other entries hold.
+ * Invalid entries of backend servers, as another writer may store them, add no server,
+ * and all other entries stay in force.
  */
 import {createServer} from "node:net"
 import type {AddressInfo} from "node:net"
@@ -9,8 +9,8 @@
 import {type BedBox, PlatformBed} from "./support/platform-bed.js"
 import {until} from "./support/wait.js"
 
-/** In this time boxes know of a new server, or of one whose entry has gone bad, milliseconds. */
-const KNOWN_MS = 2_500
+/** Time within which boxes apply a new entry, or one that became invalid. */
+const APPLY_MS = 2_500
 
 const SETTLE_MS = 2_000
 
@@ -28,8 +28,8 @@
   }
 }
 
-/** What another writer may leave, all of it naming the address. */
-function foreignValues(address: string): Map<string, Buffer> {
+/** Returns invalid entries by id; addresses in them are `address` or a variant of it. */
+function invalidEntries(address: string): Map<string, Buffer> {
   const good = entryOf("plain", address)
   const engine = entryOf("engines", address)
   const values: Record<string, unknown> = {
@@ -54,23 +54,26 @@
     "models-name": {...engine, models: [{adapters: ["a1@1"]}]},
     "adapters-type": {...engine, models: [{name: "base", adapters: [3]}]}
   }
-  const found = new Map<string, Buffer>()
+  const encoded = new Map<string, Buffer>()
   for (const [id, value] of Object.entries(values)) {
-    found.set(`f-${id}`, Buffer.from(JSON.stringify(value)))
+    encoded.set(`f-${id}`, Buffer.from(JSON.stringify(value)))
   }
-  found.set("f-bytes", Buffer.from([0xff, 0x00, 0x7b, 0xc3]))
-  found.set("f-cut", Buffer.from(JSON.stringify(good).slice(0, 40)))
-  found.set("f-empty", Buffer.alloc(0))
-  found.set("f-large", Buffer.from(JSON.stringify({...good, more: "x".repeat(300_000)})))
-  found.set("f id", Buffer.from(JSON.stringify(good)))
-  return found
+  encoded.set("f-bytes", Buffer.from([0xff, 0x00, 0x7b, 0xc3]))
+  encoded.set("f-cut", Buffer.from(JSON.stringify(good).slice(0, 40)))
+  encoded.set("f-empty", Buffer.alloc(0))
+  encoded.set(
+    "f-large",
+    Buffer.from(JSON.stringify({...good, more: "x".repeat(300_000)}))
+  )
+  encoded.set("f id", Buffer.from(JSON.stringify(good)))
+  return encoded
 }
 
 function plainOf(bed: PlatformBed): StandInWorker {
   return bed.plain[0] as StandInWorker
 }
 
-/** An address at which no call may arrive, and how many did. */
+/** Listens at an address that must not be called, and counts the calls. */
 async function listenForCalls(): Promise<{
   address: string
   calls: () => number
@@ -97,17 +100,17 @@
   return (await bed.call(box, "/safe/x")).status === 200
 }
 
-for (const first of [true, false]) {
-  const when = first ? "are there before the boxes" : "come while boxes serve"
-  t.test(`entries that cannot be read ${when} and hide no other`, async t => {
+for (const isBeforeStart of [true, false]) {
+  const when = isBeforeStart ? "exist before the boxes start" : "appear while boxes serve"
+  t.test(`invalid entries that ${when} hide no valid entry`, async t => {
     const trap = await listenForCalls()
     const bed = await PlatformBed.start({boxes: 2, engines: 1, plain: 1})
     t.teardown(() => trap.close())
     t.teardown(() => bed.stop())
-    for (const [id, bytes] of foreignValues(trap.address)) {
+    for (const [id, bytes] of invalidEntries(trap.address)) {
       bed.store.writeBytes(`servers/${id}`, bytes)
     }
-    if (first) await restartAll(bed)
+    if (isBeforeStart) await restartAll(bed)
     const old = plainOf(bed)
     const added = await bed.addPlain()
     old.drain()
@@ -118,52 +121,52 @@
           const {id, status} = await bed.call(box, "/safe/x")
           return status === 200 && bed.judge.runsOf(id)[0]?.worker === added.id
         },
-        KNOWN_MS
+        APPLY_MS
       )
       const {status} = await bed.call(box, "/stream/x", {adapter: "a1"})
       t.equal(status, 200)
     }
     await new Promise(resolve => setTimeout(resolve, SETTLE_MS))
-    t.equal(trap.calls(), 0, "nobody called what such an entry names")
+    t.equal(trap.calls(), 0, "the address of invalid entries is never called")
   })
 }
 
 t.test(
-  "a server whose entry goes bad is not sent to; its runs end, and a good entry counts",
+  "a server with an invalid entry gets no new requests until it is valid; runs finish",
   async t => {
     const bed = await PlatformBed.start({boxes: 2, engines: 1, plain: 2})
     t.teardown(() => bed.stop())
-    const [bad] = bed.plain
-    if (!bad) return
+    const [server] = bed.plain
+    if (!server) return
     for (const box of bed.boxes) t.ok(await isServed(bed, box))
-    bad.faults = {slowMs: SETTLE_MS}
+    server.faults = {slowMs: SETTLE_MS}
     const running = bed.boxes.map(box => bed.call(box, "/unsafe/x", {body: "{}"}))
     await new Promise(resolve => setTimeout(resolve, 100))
-    bad.hold()
-    bed.store.writeBytes(`servers/${bad.id}`, Buffer.from('{"state":"ready"'))
-    await new Promise(resolve => setTimeout(resolve, KNOWN_MS))
+    server.hold()
+    bed.store.writeBytes(`servers/${server.id}`, Buffer.from('{"state":"ready"'))
+    await new Promise(resolve => setTimeout(resolve, APPLY_MS))
     for (const {status} of await Promise.all(running))
-      t.equal(status, 200, "it was sent before")
+      t.equal(status, 200, "sent while the entry was valid")
     const before = bed.judge.runs.length
     for (let i = 0; i < 10; i++) {
       for (const box of bed.boxes) t.ok(await isServed(bed, box))
     }
-    const late = bed.judge.runs.slice(before).filter(({worker}) => worker === bad.id)
+    const late = bed.judge.runs.slice(before).filter(({worker}) => worker === server.id)
     t.equal(late.length, 0, "no more requests")
-    bad.faults = {}
-    bad.resume()
+    server.faults = {}
+    server.resume()
     await until(
-      "it is used again",
+      "the server is used again",
       async () => {
         const {id} = await bed.call(bed.boxes[0] as BedBox, "/safe/x")
-        return bed.judge.runsOf(id)[0]?.worker === bad.id
+        return bed.judge.runsOf(id)[0]?.worker === server.id
       },
-      KNOWN_MS
+      APPLY_MS
     )
   }
 )
 
-t.test("what an operator's key holds that cannot be read changes nothing", async t => {
+t.test("invalid values of operators' keys change nothing", async t => {
   const bed = await PlatformBed.start({boxes: 2, engines: 1, plain: 1})
   t.teardown(() => bed.stop())
   for (const box of bed.boxes) {
@@ -178,11 +181,11 @@
   bed.store.writeBytes("op/config", Buffer.from('{"version":99,"routes":7}'))
   bed.bump("a3", 2)
   for (const box of bed.boxes) {
-    await until("the version that can be read", async () => {
+    await until("the valid version", async () => {
       const {id} = await bed.call(box, "/stream/x", {adapter: "a3"})
       return bed.judge.runsOf(id).some(run => run.version === 2)
     })
-    t.ok(await isServed(bed, box), "by the last configuration that could be read")
+    t.ok(await isServed(bed, box), "served by the last valid configuration")
     t.equal((await bed.call(box, "/stream/x", {adapter: "a2"})).status, 200)
   }
   const version = bed.configure([
@@ -197,7 +200,7 @@
   ])
   t.ok(version > 0)
   for (const box of bed.boxes) {
-    await until("a configuration that follows", async () => {
+    await until("the next configuration", async () => {
       return (await bed.call(box, "/new/x")).status === 200
     })
   }
