--- a/test/lives.test.ts
+++ b/test/lives.test.ts
@@ -1,6 +1,6 @@
 /**
- * A backend server that starts again under its id is another one: nothing that was believed of its
- * last life holds, and what ran in that life may have run.
+ * A backend server that restarts under its id is a new incarnation: no state of the
+ * previous one applies, and requests that were sent to the previous one may have run.
  */
 import t from "tap"
 import type {StandInWorker} from "./stand-ins/platform-worker.js"
@@ -8,10 +8,10 @@
 import {wholeStream} from "./support/whole-stream.js"
 import {until} from "./support/wait.js"
 
-/** In this time a server that started again is used for what it is now, milliseconds. */
-const KNOWN_MS = 4_000
+/** Time within which a restarted server is used by its new state. */
+const APPLY_MS = 4_000
 
-/** In this time a request is ended whose server is known to have started again, milliseconds. */
+/** Time within which a request to a server that restarted ends. */
 const ENDED_MS = 1_500
 
 const ADAPTERS = ["a1", "a2", "a3", "a4", "a5", "a6", "a7", "a8"]
@@ -24,7 +24,7 @@
   return bed.engines[0] as StandInWorker
 }
 
-/** Has the engine take more orders than its next life will soon. */
+/** Makes the engine accept more orders than its next incarnation soon will. */
 async function serveAll(bed: PlatformBed): Promise<void> {
   for (const adapter of ADAPTERS) {
     await until(`${adapter} is served`, async () => {
@@ -39,33 +39,33 @@
 }
 
 for (const bornBefore of [0, 5_000]) {
-  const clock = bornBefore > 0 ? "by a clock that was set back" : "empty"
+  const clock = bornBefore > 0 ? "with its clock set back" : "empty"
   t.test(
-    `an engine that starts again under its id, ${clock}, is loaded anew`,
+    `an engine that is restarted under its id, ${clock}, is loaded again`,
     async t => {
       const bed = await PlatformBed.start({boxes: 2, engines: 1, plain: 1})
       t.teardown(() => bed.stop())
       await serveAll(bed)
       await engineOf(bed).restart({bornBefore})
       for (const adapter of ADAPTERS) {
-        await until(`${adapter} of the new life`, () => isServed(bed, adapter), KNOWN_MS)
+        await until(`${adapter} is served`, () => isServed(bed, adapter), APPLY_MS)
       }
       t.same(bed.judge.violations, [])
     }
   )
 }
 
-t.test("an engine that starts again twice in a second is loaded anew", async t => {
+t.test("an engine that restarts twice in a second is loaded again", async t => {
   const bed = await PlatformBed.start({boxes: 2, engines: 1, plain: 1})
   t.teardown(() => bed.stop())
   await serveAll(bed)
   await engineOf(bed).restart()
   await engineOf(bed).restart()
-  await until("it is served", () => isServed(bed, "a8"), KNOWN_MS)
+  await until("a8 is served", () => isServed(bed, "a8"), APPLY_MS)
   t.same(bed.judge.violations, [])
 })
 
-t.test("a server back under its id at another address is reached there", async t => {
+t.test("a server that restarts at another address is reached there", async t => {
   const bed = await PlatformBed.start({boxes: 2, engines: 1, plain: 1})
   t.teardown(() => bed.stop())
   const [plain] = bed.plain
@@ -76,13 +76,13 @@
     await until(
       `${box.name} reaches the new address`,
       async () => (await bed.call(box, "/safe/x")).status === 200,
-      KNOWN_MS
+      APPLY_MS
     )
   }
 })
 
 t.test(
-  "what ran in a life that is over is told so, though nothing says it on its way",
+  "a request to a restarted server ends as unknown, even if its connection is silent",
   async t => {
     const bed = await PlatformBed.start({boxes: 1, engines: 1, plain: 1, proxied: true})
     t.teardown(() => bed.stop())
@@ -99,7 +99,7 @@
     await plain.restart()
     const {status} = await call
     const tookMs = performance.now() - restartedAt
-    t.equal(status, 502, "it may have run")
+    t.equal(status, 502, "the request may have run")
     t.ok(tookMs < ENDED_MS, `ended after ${Math.round(tookMs)} ms`)
   }
 )
--- a/test/once.test.ts
+++ b/test/once.test.ts
@@ -1,10 +1,10 @@
-/** Requests that may not be repeated, and what "not run" means. */
+/** Requests that must not run twice, and the meaning of "not run". */
 import t from "tap"
 import {Calls} from "./support/calls.js"
 import {command, Deployment} from "./support/deployment.js"
 import {until} from "./support/wait.js"
 
-t.test("a key sent at two boxes at once runs once, and its state is told", async t => {
+t.test("a keyed request sent to two boxes runs once; its state is reported", async t => {
   const deployment = await Deployment.start({boxes: 2})
   t.teardown(() => deployment.stop())
   const calls = new Calls(deployment)
@@ -22,7 +22,7 @@
   t.equal(await calls.violations(), "")
 })
 
-t.test("a key is remembered when the register's owner is killed", async t => {
+t.test("a key is still recorded after the register's owner is killed", async t => {
   const deployment = await Deployment.start({boxes: 2})
   t.teardown(() => deployment.stop())
   const calls = new Calls(deployment)
@@ -45,7 +45,7 @@
   t.equal(await calls.violations(), "")
 })
 
-t.test("an end that no owner could be told is told to the next one", async t => {
+t.test("an outcome that no owner received is reported to the next one", async t => {
   const deployment = await Deployment.start()
   t.teardown(() => deployment.stop())
   const calls = new Calls(deployment)
@@ -53,17 +53,17 @@
   if (!box) return
   const choice = {tag: "letter", key: "letter", tokens: 100}
   const answer = calls.send(box, choice)
-  await until("it runs", async () => (await calls.startsOf("letter")).length > 0)
+  await until("the request runs", async () => (await calls.startsOf("letter")).length > 0)
   await box.keeper.end("SIGKILL")
   t.match(await answer, {kind: "answered"})
   box.keeper = deployment.startProcess("keeper", box.settingsFile)
   await deployment.ready()
-  t.match(await calls.send(box, choice), {code: "key-answered"}, "and not only unknown")
+  t.match(await calls.send(box, choice), {code: "key-answered"}, "not left as unknown")
   t.equal((await calls.startsOf("letter")).length, 1)
 })
 
 t.test(
-  "without the key-value service such a request is refused as not run, and runs later",
+  "without the key-value service a keyed request is refused as not run, and runs later",
   async t => {
     const deployment = await Deployment.start()
     t.teardown(() => deployment.stop())
@@ -83,14 +83,14 @@
     t.equal((await calls.startsOf("letter")).length, 0)
     await command(deployment.kv, "fault", {})
     await until(
-      "it runs",
+      "the request runs",
       async () => (await calls.send(box, choice)).kind === "answered"
     )
     t.equal((await calls.startsOf("letter")).length, 1)
   }
 )
 
-t.test("a lost answer of the key-value service runs nothing twice", async t => {
+t.test("a lost answer of the key-value service causes no second run", async t => {
   const deployment = await Deployment.start({boxes: 2})
   t.teardown(() => deployment.stop())
   const calls = new Calls(deployment)
@@ -109,7 +109,7 @@
 })
 
 t.test(
-  "a request whose engine is lost is not run again, and said to be unknown",
+  "a request whose engine is lost is not run again and reported as unknown",
   async t => {
     const deployment = await Deployment.start()
     t.teardown(() => deployment.stop())
@@ -127,7 +127,7 @@
     engine.proxy.cut()
     t.match(await once, {kind: "refused", code: "backend-lost", outcome: "unknown"})
     t.match(await marked, {kind: "refused", code: "backend-lost", outcome: "unknown"})
-    t.match(await repeatable, {kind: "answered"}, "a repeatable one is tried again")
+    t.match(await repeatable, {kind: "answered"}, "a repeatable request is retried")
     t.equal((await calls.startsOf("once")).length, 1)
     t.equal((await calls.startsOf("marked")).length, 1)
     t.match(await calls.send(box, {...whole, tag: "once", key: "once"}), {
