--- a/test/path.test.ts
+++ b/test/path.test.ts
@@ -1,4 +1,4 @@
-/** A request's way through every process, and what callers get for bad input. */
+/** The path of a request through all processes. */
 import t from "tap"
 import {callModel} from "./support/caller.js"
 import {Deployment} from "./support/deployment.js"
--- a/test/places-bench.test.ts
+++ b/test/places-bench.test.ts
@@ -1,4 +1,4 @@
-/** The bench of what boxes are told: its links, and that a run counts what it says. */
+/** The bench of slot updates to boxes: its simulated links and the counts of a run. */
 import t from "tap"
 import {Links} from "../bench/places-links.js"
 import {PlacesRun} from "../bench/places-run.js"
@@ -7,23 +7,23 @@
   return new Links({bytesPerMs: 100, delayMs: 2, loss, draw})
 }
 
-t.test("messages share the leader's line, whatever box they go to", async t => {
+t.test("messages to all boxes share the leader's bandwidth", async t => {
   const links = createLinks(0, () => 0.5)
   t.equal(links.send(0, 1_000, 0), 12)
   t.equal(links.send(1, 1_000, 0), 22)
   t.equal(links.send(1, 100, 50), 53)
 })
 
-t.test("a link keeps its order: what is sent again holds up the rest", async t => {
+t.test("a link keeps its order: a retransmission delays later messages", async t => {
   const draws = [0, 0.9]
   const links = createLinks(0.1, () => draws.shift() ?? 0.9)
   const first = links.send(0, 100, 0)
   t.equal(first, 203)
   t.equal(links.send(0, 100, 10), first)
-  t.equal(links.send(1, 100, 20), 23, "other links are not held up")
+  t.equal(links.send(1, 100, 20), 23, "other links are not delayed")
 })
 
-t.test("nothing reaches a box while it is cut off", async t => {
+t.test("no message reaches a box while its link is cut", async t => {
   const links = createLinks(0, () => 0.5)
   links.cut(0, 10, 500)
   t.equal(links.send(0, 100, 0), 3)
@@ -31,7 +31,7 @@
   t.equal(links.send(0, 100, 600), 603)
 })
 
-t.test("a run counts what a leader and its boxes tell each other", async t => {
+t.test("a run counts the messages between a leader and its boxes", async t => {
   const size = {boxes: 9, engines: 9, adapters: 200, requestsPerS: 100, lengthMs: 1_000}
   const run = new PlacesRun(size)
   t.ok(run.tellPicture().length > 0)
