--- a/test/poison-requests.test.ts
+++ b/test/poison-requests.test.ts
@@ -1,9 +1,9 @@
 /**
- * A request under which three backend servers crashed reaches none soon after, in whatever request of its
- * caller and at whatever box it comes again.
+ * A request under which three backend servers crashed reaches no server soon after,
+ * however its caller retries it and at whichever box.
  *
- * Seen: callers sent such a request to one box after another; each of their tries was new to the box that took
- * it, and thirteen servers crashed under one request.
+ * Callers retried such a request at one box after another. Each retry was new to the box
+ * that received it, and thirteen servers crashed under one request.
  */
 import t from "tap"
 import {crashingBody} from "./stand-ins/platform-worker.js"
@@ -11,34 +11,34 @@
 import {passOverIfRed} from "./support/known-red.js"
 import {type BedBox, PlatformBed} from "./support/platform-bed.js"
 
-/** Between two tries of the caller, milliseconds. */
-const PAUSE_MS = 150
+/** Interval between the caller's retries. */
+const RETRY_INTERVAL_MS = 150
 
 const sleep = (ms: number): Promise<void> =>
   new Promise(resolve => setTimeout(resolve, ms))
 
-interface Try {
+interface Attempt {
   readonly path: string
   readonly body: string
   readonly adapter?: string
 }
 
-/** Sends the same request to one box after another for a while. */
-async function sendAgain(
+/** Retries the request at one box after another for `ms`. */
+async function retryFor(
   bed: PlatformBed,
-  {path, ...options}: Try,
+  {path, ...options}: Attempt,
   ms: number
 ): Promise<number[]> {
   const calls: Promise<{status: number}>[] = []
   for (const end = performance.now() + ms; performance.now() < end;) {
     const box = bed.boxes[calls.length % bed.boxes.length] as BedBox
     calls.push(bed.call(box, path, options))
-    await sleep(PAUSE_MS)
+    await sleep(RETRY_INTERVAL_MS)
   }
   return (await Promise.all(calls)).map(({status}) => status)
 }
 
-async function start(): Promise<PlatformBed> {
+async function startBed(): Promise<PlatformBed> {
   return PlatformBed.start({
     boxes: 3,
     engines: 4,
@@ -48,26 +48,26 @@
   })
 }
 
-async function leaderDies(bed: PlatformBed): Promise<void> {
+async function restartLeader(bed: PlatformBed): Promise<void> {
   const leader = bed.leader()
   if (!leader) return
   await leader.child.end("SIGKILL")
   bed.restartBox(leader)
 }
 
-if (!passOverIfRed("poison-requests")) playAll()
+if (!passOverIfRed("poison-requests")) defineTests()
 
-function playAll(): void {
+function defineTests(): void {
   const MOMENTS = ["before-head", "in-stream", "after-end"] as const
 
   for (const moment of MOMENTS) {
     t.test(
-      `a stream that crashes engines (${moment}) is stopped at all boxes`,
+      `a stream that crashes engines (${moment}) is quarantined at all boxes`,
       async t => {
-        const bed = await start()
+        const bed = await startBed()
         t.teardown(() => bed.stop())
         const body = crashingBody("one", moment)
-        await sendAgain(bed, {path: "/stream/x", adapter: "a1", body}, 9_000)
+        await retryFor(bed, {path: "/stream/x", adapter: "a1", body}, 9_000)
         t.ok(bed.judge.crashes.length >= 3, `${bed.judge.crashes.length} crashed`)
         t.same(judgeCrashes(bed.judge), [])
       }
@@ -75,70 +75,70 @@
   }
 
   t.test(
-    "a plain request that crashes servers is stopped, and told so at once",
+    "a plain request that crashes servers is quarantined and refused at once",
     async t => {
-      const bed = await start()
+      const bed = await startBed()
       t.teardown(() => bed.stop())
       const body = crashingBody("one", "before-head")
-      const statuses = await sendAgain(bed, {path: "/unsafe/x", body}, 8_000)
+      const statuses = await retryFor(bed, {path: "/unsafe/x", body}, 8_000)
       t.ok(bed.judge.crashes.length >= 3, `${bed.judge.crashes.length} crashed`)
       t.same(judgeCrashes(bed.judge), [])
       t.equal(statuses.at(-1), 503)
     }
   )
 
-  t.test("it stays stopped as the leader dies after the second crash", async t => {
-    const bed = await start()
+  t.test("quarantine outlives the leader's death after the second crash", async t => {
+    const bed = await startBed()
     t.teardown(() => bed.stop())
-    const tries = {path: "/once/x", adapter: "a1", body: crashingBody("one", "in-stream")}
-    while (bed.judge.crashes.length < 2) await sendAgain(bed, tries, PAUSE_MS)
-    await leaderDies(bed)
-    await sendAgain(bed, tries, 9_000)
+    const retry = {path: "/once/x", adapter: "a1", body: crashingBody("one", "in-stream")}
+    while (bed.judge.crashes.length < 2) await retryFor(bed, retry, RETRY_INTERVAL_MS)
+    await restartLeader(bed)
+    await retryFor(bed, retry, 9_000)
     t.same(judgeCrashes(bed.judge), [])
   })
 
-  t.test("it stays stopped after all boxes were restarted", async t => {
-    const bed = await start()
+  t.test("a request stays quarantined after all boxes were restarted", async t => {
+    const bed = await startBed()
     t.teardown(() => bed.stop())
-    const tries = {path: "/unsafe/x", body: crashingBody("one", "before-head")}
-    await sendAgain(bed, tries, 5_000)
+    const retry = {path: "/unsafe/x", body: crashingBody("one", "before-head")}
+    await retryFor(bed, retry, 5_000)
     await Promise.all(bed.boxes.map(({child}) => child.end("SIGKILL")))
     for (const box of bed.boxes) bed.restartBox(box)
     await bed.ready()
-    await sendAgain(bed, tries, 5_000)
+    await retryFor(bed, retry, 5_000)
     t.same(judgeCrashes(bed.judge), [])
   })
 
-  // A request of many callers is in progress at most servers as they crash under another one.
-  t.test("requests that are answered elsewhere go on", async t => {
-    const bed = await start()
+  // A request of many callers is in progress at most servers as another one crashes them.
+  t.test("requests that other servers answer are still served", async t => {
+    const bed = await startBed()
     t.teardown(() => bed.stop())
     for (const worker of bed.plain) worker.faults = {slowMs: 60}
-    const guilty = {path: "/unsafe/x", body: crashingBody("one", "before-head")}
-    let going = true
-    const usual = async (): Promise<number[]> => {
+    const crashing = {path: "/unsafe/x", body: crashingBody("one", "before-head")}
+    let isSending = true
+    const sendSafe = async (): Promise<number[]> => {
       const calls: Promise<{status: number}>[] = []
-      while (going) {
+      while (isSending) {
         const box = bed.boxes[calls.length % bed.boxes.length] as BedBox
         calls.push(bed.call(box, "/safe/x"))
         await sleep(20)
       }
       return (await Promise.all(calls)).map(({status}) => status)
     }
-    const statuses = usual()
-    await sendAgain(bed, guilty, 8_000)
-    going = false
+    const statuses = sendSafe()
+    await retryFor(bed, crashing, 8_000)
+    isSending = false
     const all = await statuses
     t.same(judgeCrashes(bed.judge), [])
     const after = all.slice(-100)
     t.same(
       after.filter(status => status !== 200),
       [],
-      "none is refused at the end"
+      "no request is refused at the end"
     )
   })
 
-  t.test("another organisation's request with the same content goes on", async t => {
+  t.test("another organisation's request with the same content is sent", async t => {
     const bed = await PlatformBed.start({
       boxes: 2,
       engines: 1,
@@ -154,13 +154,13 @@
     const [box] = bed.boxes as [BedBox]
     for (let i = 0; i < 20 && bed.judge.crashes.length < 3; i++) {
       await bed.call(box, "/unsafe/x", {body, key: "key-one"})
-      await sleep(PAUSE_MS)
+      await sleep(RETRY_INTERVAL_MS)
     }
     await sleep(1_500)
     const refused = await bed.call(box, "/unsafe/x", {body, key: "key-one"})
     t.equal(refused.status, 503)
     const crashes = bed.judge.crashes.length
     await bed.call(box, "/unsafe/x", {body, key: "key-two"})
-    t.equal(bed.judge.crashes.length, crashes + 1, "it was sent")
+    t.equal(bed.judge.crashes.length, crashes + 1, "the request was sent")
   })
 }
