--- a/test/config-news.test.ts
+++ b/test/config-news.test.ts
@@ -2,8 +2,9 @@
  * After a suspension, a box refreshes its store snapshot before it routes a request.
  *
  * Guards against the class of faults seen with departures and versions: sends waited
- * while the snapshot was stale, but the route was looked up on arrival in the stale table.
- * The users' rule exempts suspended machines, but their callers got 404 and did not retry.
+ * while the snapshot was stale, but the route was looked up on arrival in the stale
+ * table. The users' rule exempts suspended machines, but their callers got 404 and did
+ * not retry.
  */
 import t from "tap"
 import {type BedBox, PlatformBed} from "./support/platform-bed.js"
