--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -1,4 +1,7 @@
-/** Load reports and cache events of engines: late, with gaps, and only ever a preference. */
+/**
+ * Load reports and cache events of engines: they may be late or incomplete, and only change
+ * which engine is preferred.
+ */
 import t from "tap"
 import {Calls} from "./support/calls.js"
 import {TestCell} from "./support/cell.js"
@@ -15,30 +18,34 @@
 }
 
 t.test(
-  "an engine that reports requests of others goes last, and is still used",
+  "an engine that reports requests of other clients is used last, but is used",
   async t => {
     const subject = createSubject()
     subject.handleListResult("engine-0", {load: {running: 3, waiting: 2}})
     for (let count = 0; count < 5; count++)
       t.equal(subject.scheduleRequest(`r${count}`), "engine-1")
     for (let count = 5; count < 16; count++)
-      t.ok(subject.scheduleRequest(`r${count}`), "up to its batch")
-    t.equal(subject.scheduleRequest("r16"), undefined, "own requests fill both")
+      t.ok(subject.scheduleRequest(`r${count}`), "up to its batch size")
+    t.equal(
+      subject.scheduleRequest("r16"),
+      undefined,
+      "the cell's own requests fill both"
+    )
   }
 )
 
-t.test("a late report does not count the own requests as those of others", async t => {
+t.test("a late report does not count own requests as those of other clients", async t => {
   const subject = createSubject()
   const engine = subject.scheduleRequest("r0") ?? ""
   subject.cell.running.clear()
   subject.handleListResult(engine, {load: {running: 1, waiting: 0}})
   t.equal(subject.cell.engines.get(engine)?.foreign, 0)
   subject.handleListResult(engine, {load: {running: 1, waiting: 0}})
-  t.equal(subject.cell.engines.get(engine)?.foreign, 1, "it still runs after the next")
+  t.equal(subject.cell.engines.get(engine)?.foreign, 1, "still reported by the next one")
 })
 
 t.test(
-  "an engine with the prompt's start in its cache goes first, within limits",
+  "an engine that caches the prompt's prefix is preferred, within limits",
   async t => {
     const subject = createSubject()
     const events = [{seq: 1, prefix: "p", stored: true}]
@@ -48,33 +55,33 @@
     t.equal(
       subject.scheduleRequest("r2", {prefix: "p"}),
       "engine-0",
-      "not when it is much fuller"
+      "not if it is much more loaded"
     )
     t.equal(
       subject.scheduleRequest("r3", {prefix: "q"}),
       "engine-0",
-      "the least loaded for any other"
+      "the least loaded engine for any other prefix"
     )
   }
 )
 
-t.test("a gap in cache events, or a restart, makes what was known void", async t => {
+t.test("a gap in the cache events or a restart clears the known prefixes", async t => {
   const subject = createSubject()
-  const known = () => [...(subject.cell.engines.get("engine-0")?.prefixes ?? [])]
+  const cachedPrefixes = () => [...(subject.cell.engines.get("engine-0")?.prefixes ?? [])]
   const event = (seq: number, prefix: string, stored = true) => ({seq, prefix, stored})
   subject.handleListResult("engine-0", {
     cache: {last: 2, events: [event(1, "a"), event(2, "b")]}
   })
   subject.handleListResult("engine-0", {cache: {last: 3, events: [event(3, "a", false)]}})
-  t.same(known(), ["b"])
+  t.same(cachedPrefixes(), ["b"])
   subject.handleListResult("engine-0", {
     cache: {last: 7, events: [event(6, "c"), event(7, "d")]}
   })
-  t.same(known(), ["c", "d"], "4 and 5 were missed")
+  t.same(cachedPrefixes(), ["c", "d"], "events 4 and 5 were missed")
   subject.handleListResult("engine-0", {cache: {last: 1, events: [event(1, "e")]}})
-  t.same(known(), ["e"], "it counts anew")
+  t.same(cachedPrefixes(), ["e"], "its sequence numbers start again")
   subject.handleListResult("engine-0")
-  t.same(known(), ["e"], "a list without events changes nothing")
+  t.same(cachedPrefixes(), ["e"], "a list result without events changes nothing")
 })
 
 t.test("reports reach the owner from real engines", async t => {
@@ -86,11 +93,11 @@
   if (!box || !engine) return
   await command(engine, "fault", {foreign: 5})
   await calls.send(box)
-  const reported = await until("both are known", async () => {
+  const reported = await until("both are reported", async () => {
     const {cells} = await getJson(`http://${box.keeperOps}/state`)
-    const [known] = cells[0].engines
-    // The first report may still count the call as present that has ended.
-    return known.foreign === 5 && known.prefixes > 0 ? known : undefined
+    const [state] = cells[0].engines
+    // The first report may still count the call, which has ended.
+    return state.foreign === 5 && state.prefixes > 0 ? state : undefined
   })
   t.match(reported, {foreign: 5, prefixes: 1})
 })
--- a/test/retry-asks.test.ts
+++ b/test/retry-asks.test.ts
@@ -1,4 +1,4 @@
-/** A box among many whose own repeats are used up asks its leader for one. */
+/** A box in a large system whose own retry budget is used up requests a retry from its leader. */
 import t from "tap"
 import {RETRY_ANSWER_TIMEOUT_MS} from "../src/core/box-retry-requests.js"
 import type {AttemptFailure} from "../src/core/box-attempt-failures.js"
@@ -10,8 +10,8 @@
 import type {BackendRecord, Route} from "../src/types/fleet.js"
 
 const RETRY = {ratio: 0, slack: 100, windowMs: 10_000}
-const MANY = 195
-const FEW = 9
+const MANY_BOXES = 195
+const FEW_BOXES = 9
 const NOW = 1_000
 
 const ROUTE: Route = {
@@ -43,18 +43,18 @@
   }
 }
 
-/** A box with one request on its way, and what it has told, in short. */
+/** A box with one request that was sent; its methods return a summary of the effects. */
 class Subject {
   readonly state: RoutedState
 
-  constructor(boxes: number, led: boolean, route: Partial<Route> = {}) {
+  constructor(boxes: number, hasLeader: boolean, route: Partial<Route> = {}) {
     const random = (): number => 0
     const options = {dataCentre: "a", retry: RETRY, handoverMs: 3_200, random}
     this.state = {serving: createBoxServing(options), fleet: undefined}
     const records = [recordOf("one"), recordOf("two")]
     this.step({type: "backends", records, reading: {source: "store", readAt: 0}})
     this.step({type: "boxes", boxes})
-    this.step({type: "orders", hasLeader: led, inMs: 0})
+    this.step({type: "orders", hasLeader, inMs: 0})
     const arrival = {
       id: "q",
       name: "n",
@@ -87,21 +87,24 @@
 }
 
 for (const failure of ["refused", "broken"] as const) {
-  t.test(`after a send that was ${failure} it goes on as the leader allows`, async t => {
-    const allowed = new Subject(MANY, true)
-    t.same(allowed.fail(failure), ["ask-retry"])
-    t.same(allowed.step({type: "tick", mayOrder: false}), [], "it waits")
-    t.same(allowed.step({type: "may-retry", id: "q", allowed: true}), ["send"])
-    t.same(allowed.step({type: "may-retry", id: "q", allowed: true}), [], "once")
-    const denied = new Subject(MANY, true)
-    denied.fail(failure)
-    const reason = failure === "broken" ? "unknown" : "not-run"
-    t.same(denied.step({type: "may-retry", id: "q", allowed: false}), [`end ${reason}`])
-  })
+  t.test(
+    `a request whose send was ${failure} is retried if the leader allows`,
+    async t => {
+      const allowed = new Subject(MANY_BOXES, true)
+      t.same(allowed.fail(failure), ["ask-retry"])
+      t.same(allowed.step({type: "tick", mayOrder: false}), [], "it waits for the answer")
+      t.same(allowed.step({type: "may-retry", id: "q", allowed: true}), ["send"])
+      t.same(allowed.step({type: "may-retry", id: "q", allowed: true}), [], "once")
+      const denied = new Subject(MANY_BOXES, true)
+      denied.fail(failure)
+      const reason = failure === "broken" ? "unknown" : "not-run"
+      t.same(denied.step({type: "may-retry", id: "q", allowed: false}), [`end ${reason}`])
+    }
+  )
 }
 
-t.test("a leader that does not answer is not waited for", async t => {
-  const subject = new Subject(MANY, true)
+t.test("the wait for the leader's answer times out", async t => {
+  const subject = new Subject(MANY_BOXES, true)
   subject.fail("refused")
   const tick = {type: "tick", mayOrder: false} as const
   t.same(subject.step(tick, NOW + RETRY_ANSWER_TIMEOUT_MS - 1), [])
@@ -110,39 +113,47 @@
 })
 
 t.test(
-  "nobody is asked without a leader, among few boxes, or for what may not run twice",
+  "no retry is requested without a leader, among few boxes or if it may not run twice",
   async t => {
-    t.same(new Subject(MANY, false).fail("refused"), ["end not-run"])
-    t.same(new Subject(FEW, true).fail("refused"), ["send"], "it has repeats of its own")
-    t.same(new Subject(MANY, true, {kind: "unsafe"}).fail("broken"), ["end unknown"])
-    t.same(new Subject(MANY, true, {maxAttempts: 1}).fail("broken"), ["end unknown"])
-    t.same(new Subject(MANY, true, {kind: "unsafe"}).fail("refused"), ["ask-retry"])
+    t.same(new Subject(MANY_BOXES, false).fail("refused"), ["end not-run"])
+    t.same(
+      new Subject(FEW_BOXES, true).fail("refused"),
+      ["send"],
+      "its own budget suffices"
+    )
+    t.same(new Subject(MANY_BOXES, true, {kind: "unsafe"}).fail("broken"), [
+      "end unknown"
+    ])
+    t.same(new Subject(MANY_BOXES, true, {maxAttempts: 1}).fail("broken"), [
+      "end unknown"
+    ])
+    t.same(new Subject(MANY_BOXES, true, {kind: "unsafe"}).fail("refused"), ["ask-retry"])
   }
 )
 
 t.test(
-  "a leader gives out its part of the slack in each window, and fills in its first",
+  "a leader grants its share of the slack per window, which accrues in the first one",
   async t => {
     const pool = new RetryPool(RETRY, 0)
     const takeAll = (now: number): number => {
-      let given = 0
-      while (pool.tryTake("s", now)) given++
-      return given
+      let granted = 0
+      while (pool.tryTake("s", now)) granted++
+      return granted
     }
     t.equal(takeAll(0), 0)
     t.equal(takeAll(5_000), 35)
     t.equal(takeAll(10_000), 35)
-    t.equal(takeAll(12_000), 0, "all is given")
-    t.equal(takeAll(15_001), 35, "and comes back with the window")
-    t.ok(pool.tryTake("other", 15_001), "each service for itself")
+    t.equal(takeAll(12_000), 0, "all is granted")
+    t.equal(takeAll(15_001), 35, "available again as the window moves on")
+    t.ok(pool.tryTake("other", 15_001), "each service has its own budget")
   }
 )
 
-t.test("a box that leads answers", async t => {
-  const {state} = new Subject(MANY, true)
+t.test("the leader answers a retry request", async t => {
+  const {state} = new Subject(MANY_BOXES, true)
   stepRouted(state, {type: "lead"}, 0)
-  const ask = {type: "ask-retry", box: "b", id: "x", service: "s"} as const
-  const {effects} = stepRouted(state, ask, 10_000)
+  const retryRequest = {type: "ask-retry", box: "b", id: "x", service: "s"} as const
+  const {effects} = stepRouted(state, retryRequest, 10_000)
   t.match(
     effects.find(({type}) => type === "retry"),
     {box: "b", id: "x", allowed: true}
--- a/test/server-incarnations.test.ts
+++ b/test/server-incarnations.test.ts
@@ -1,4 +1,4 @@
-/** What is believed of a backend server that started again under its name, in the core alone. */
+/** How the core handles a backend server that restarted under the same name. */
 import t from "tap"
 import {listEndedIncarnations} from "../src/core/backend-changes.js"
 import {
@@ -46,91 +46,92 @@
 const listOf = (record: BackendRecord): BackendList =>
   applyBackendList(createBackendList(), [record], byStore(0), 0)
 
-t.test("the next life takes the place of the last at once, also in doubt", async t => {
-  const doubtful = recordStoreFailure(listOf(OLD), 10)
-  for (const list of [listOf(OLD), doubtful]) {
+t.test("the next incarnation replaces the last one at once, also if stale", async t => {
+  const stale = recordStoreFailure(listOf(OLD), 10)
+  for (const list of [listOf(OLD), stale]) {
     t.same(ids(applyBackendUpdate(list, "w", NEXT, byStore(20), 20)), [NEXT.id])
-    const whole = applyBackendList(list, [NEXT], byStore(20), 20)
-    t.same(ids(whole), [NEXT.id])
-    t.same(listEndedIncarnations(list, whole), [{id: OLD.id, next: NEXT.id}])
+    const relisted = applyBackendList(list, [NEXT], byStore(20), 20)
+    t.same(ids(relisted), [NEXT.id])
+    t.same(listEndedIncarnations(list, relisted), [{id: OLD.id, next: NEXT.id}])
   }
 })
 
 t.test(
-  "a life that started earlier by its clock is the next one all the same",
+  "a new incarnation counts even if its clock says that it started earlier",
   async t => {
-    const stepped = recordOf(1_000, 3)
-    const list = applyBackendUpdate(listOf(NEXT), "w", stepped, byStore(20), 20)
-    t.same(ids(list), [stepped.id])
+    const earlier = recordOf(1_000, 3)
+    const list = applyBackendUpdate(listOf(NEXT), "w", earlier, byStore(20), 20)
+    t.same(ids(list), [earlier.id])
   }
 )
 
-t.test("older news of an ended life changes nothing, whichever way it comes", async t => {
+t.test("an older update of an ended incarnation changes nothing", async t => {
   const list = applyBackendUpdate(listOf(OLD), "w", NEXT, byStore(20), 20)
   for (const source of ["store", "box"] as const) {
-    const change = applyBackendUpdate(list, "w", OLD, {source, readAt: 30}, 30)
-    t.same(ids(change), [NEXT.id], `a change by ${source}`)
-    const whole = applyBackendList(list, [OLD], {source, readAt: 10}, 30)
-    t.same(ids(whole), [NEXT.id], `a list by ${source}`)
+    const updated = applyBackendUpdate(list, "w", OLD, {source, readAt: 30}, 30)
+    t.same(ids(updated), [NEXT.id], `an update from ${source}`)
+    const relisted = applyBackendList(list, [OLD], {source, readAt: 10}, 30)
+    t.same(ids(relisted), [NEXT.id], `a list from ${source}`)
   }
   const fresh = applyBackendList(createBackendList(), [NEXT], byStore(20), 20)
   t.same(
     ids(applyBackendUpdate(fresh, "w", OLD, byStore(30), 30)),
     [NEXT.id],
-    "never heard of it"
+    "the ended incarnation was never listed"
   )
 })
 
-t.test("a leader's word that an ended life is gone does not end the next", async t => {
+t.test("a leader's removal of an ended incarnation keeps the next one", async t => {
   const list = applyBackendUpdate(listOf(OLD), "w", NEXT, {source: "box", readAt: 20}, 20)
-  const told = applyBackendUpdate(
+  const updated = applyBackendUpdate(
     list,
     OLD.id,
     undefined,
     {source: "box", readAt: 30},
     30
   )
-  t.same(ids(told), [NEXT.id])
+  t.same(ids(updated), [NEXT.id])
   t.same(
-    ids(applyBackendUpdate(told, "w", undefined, byStore(40), 40)),
+    ids(applyBackendUpdate(updated, "w", undefined, byStore(40), 40)),
     [],
-    "its own entry does"
+    "the removal of its own entry ends it"
   )
 })
 
-t.test("a server that said that it leaves may serve again in its next life", async t => {
+t.test("a server that was leaving is usable again in its next incarnation", async t => {
   const leaving = listOf({...OLD, leaving: true})
   t.notOk(isUsable(leaving, OLD.id))
   t.ok(isUsable(applyBackendUpdate(leaving, "w", NEXT, byStore(20), 20), NEXT.id))
 })
 
-// Seen in a soak: a box took the life that a copy of the store held for the next one, and never sent to the server
-// again, which lived on in the one that it had known.
+// Guards against a failure of a soak test: a box took an older incarnation from the store's
+// older backup for the next one. It never sent to the server again, although the
+// incarnation that it had listed before still ran.
 t.test(
-  "an older life that a copy of the store brings back is not the next one",
+  "an older incarnation that an older backup restores is not the next one",
   async t => {
     const known = {...recordOf(9_000, 50), era: 4}
-    const copied = {...recordOf(5_000, 20), era: 5}
-    const again = {...recordOf(9_000, 30), era: 5}
-    const risen = recordRestore(listOf(known), 100, 100)
-    for (const read of [
+    const restoredEntry = {...recordOf(5_000, 20), era: 5}
+    const rewritten = {...recordOf(9_000, 30), era: 5}
+    const restored = recordRestore(listOf(known), 100, 100)
+    for (const apply of [
       (record: BackendRecord, list: BackendList, at: number): BackendList =>
         applyBackendList(list, [record], byStore(at), at),
       (record: BackendRecord, list: BackendList, at: number): BackendList =>
         applyBackendUpdate(list, "w", record, byStore(at), at)
     ]) {
-      const after = read(copied, risen, 110)
-      t.same(ids(after), [known.id], "it is known in a later one")
-      const written = read(again, after, 400)
+      const after = apply(restoredEntry, restored, 110)
+      t.same(ids(after), [known.id], "a later incarnation is known")
+      const written = apply(rewritten, after, 400)
       t.same(ids(written), [known.id], "which writes its entry again")
       t.ok(isUsable(written, known.id))
       t.same(ids(expireBackends(written, 6_000)), [known.id])
       t.same(
         ids(expireBackends(after, 6_000)),
-        [copied.id],
-        "what outlasts the copy's entries lives, whatever its clock says"
+        [restoredEntry.id],
+        "an entry that outlasts the restored ones is live, whatever its clock says"
       )
-      t.same(ids(read({...recordOf(9_500, 30), era: 5}, after, 400)), [
+      t.same(ids(apply({...recordOf(9_500, 30), era: 5}, after, 400)), [
         recordOf(9_500, 30).id
       ])
     }
@@ -138,15 +139,16 @@
 )
 
 t.test(
-  "an entry that cannot be read is no lapse, and a good one counts again",
+  "an unreadable entry does not count as expired, and a readable one counts again",
   async t => {
-    const away = recordStoreFailure(listOf(OLD), 10)
-    const bad = applyBackendList(away, [], byStore(20), 20, new Set(["w"]))
-    t.same(ids(bad), [])
-    t.same(ids(applyBackendUpdate(away, "w", "unreadable", byStore(20), 20)), [])
-    t.same(ids(applyBackendUpdate(bad, "w", recordOf(5_000, 4), byStore(30), 30)), [
-      OLD.id
-    ])
+    const failing = recordStoreFailure(listOf(OLD), 10)
+    const unreadable = applyBackendList(failing, [], byStore(20), 20, new Set(["w"]))
+    t.same(ids(unreadable), [])
+    t.same(ids(applyBackendUpdate(failing, "w", "unreadable", byStore(20), 20)), [])
+    t.same(
+      ids(applyBackendUpdate(unreadable, "w", recordOf(5_000, 4), byStore(30), 30)),
+      [OLD.id]
+    )
   }
 )
 
@@ -174,7 +176,7 @@
 }
 
 for (const kind of ["unsafe", "safe"] as const) {
-  t.test(`what runs (${kind}) in an ended life may have run`, async t => {
+  t.test(`a request (${kind}) at an ended incarnation may have run`, async t => {
     const state = startState()
     const step = (event: Parameters<typeof stepRouted>[1], now: number) =>
       stepRouted(state, event, now).effects
@@ -190,13 +192,18 @@
     }
     step({type: "arrive", arrival}, 10)
     step({type: "started", id: "q", attempt: 1}, 11)
-    const told = step({type: "backend", id: "w", record: NEXT, reading: byStore(20)}, 20)
-    t.ok(told.some(effect => effect.type === "note" && effect.event === "backend-reborn"))
+    const effects = step(
+      {type: "backend", id: "w", record: NEXT, reading: byStore(20)},
+      20
+    )
+    t.ok(
+      effects.some(effect => effect.type === "note" && effect.event === "backend-reborn")
+    )
     const tick = {type: "tick", mayOrder: false} as const
     const early = step(tick, 20 + LAST_BYTES_MS - 1)
     t.notOk(
       early.some(({type}) => type === "end" || type === "send"),
-      "an answer may be on its way"
+      "an answer may still arrive"
     )
     const late = step(tick, 20 + LAST_BYTES_MS)
     t.ok(late.some(({type}) => type === "abort"))
@@ -213,33 +220,33 @@
   })
 }
 
-const PLACES = 2
+const SLOTS = 2
 const SERVICE: FleetService = {
   name: "s",
   maxConnections: 100,
   engine: {
     models: [{name: "base", weightsMb: 100, adapterMb: 1}],
     weightsMb: 110,
-    maxAdapters: PLACES,
+    maxAdapters: SLOTS,
     loadsPerSecond: 1,
     batch: 8
   }
 }
 const SERVICES = new Map([["s", SERVICE]])
 
-function report(
+function reportAdapters(
   fleet: Fleet,
   id: string,
   sequence: number,
-  held: string[],
+  names: string[],
   now: number
 ): void {
-  const adapters = new Map(held.map(name => [name, 1]))
+  const adapters = new Map(names.map(name => [name, 1]))
   const models = [{name: "base", adapters}]
   applyEngineReport(fleet, id, {sequence, busy: false, models, pending: []}, now)
 }
 
-function need(fleet: Fleet, adapter: string, now: number): void {
+function requestWeights(fleet: Fleet, adapter: string, now: number): void {
   handleWeightsRequest(
     fleet,
     "box",
@@ -258,7 +265,7 @@
   )
 }
 
-function ordersOf(fleet: Fleet, now: number): string[] {
+function planOrders(fleet: Fleet, now: number): string[] {
   planFleet(fleet, true, now)
   return drainFleet(fleet).flatMap(effect =>
     effect.type === "order"
@@ -269,77 +276,83 @@
   )
 }
 
-/** An engine whose life ends while a load at count 3 is without an answer; its next life. */
-function restartWithStray(settled: boolean): {
+/**
+ * Restarts an engine while a load order at sequence 3 is unconfirmed, and returns the
+ * engine's next incarnation.
+ */
+function restartWithUnconfirmedLoad(hasTimedOut: boolean): {
   fleet: Fleet
   engine: FleetEngine
   now: number
 } {
   const fleet = createFleet(0)
   updateEngines(fleet, SERVICES, [OLD], 0)
-  report(fleet, OLD.id, 3, ["a"], 0)
-  need(fleet, "x", 10)
-  t.same(ordersOf(fleet, 10), ["load x at 3"])
-  if (settled) handleOrderResult(fleet, OLD.id, "unknown", 160)
+  reportAdapters(fleet, OLD.id, 3, ["a"], 0)
+  requestWeights(fleet, "x", 10)
+  t.same(planOrders(fleet, 10), ["load x at 3"])
+  if (hasTimedOut) handleOrderResult(fleet, OLD.id, "unknown", 160)
   updateEngines(fleet, SERVICES, [NEXT], 200)
   fleet.waitingRequests.clear()
   const engine = fleet.engines.get(NEXT.id) as FleetEngine
   return {fleet, engine, now: 300}
 }
 
-for (const settled of [true, false]) {
-  const state = settled ? "whose answer was given up" : "that is on its way"
+for (const hasTimedOut of [true, false]) {
+  const state = hasTimedOut ? "that timed out" : "without an answer yet"
   t.test(
-    `an order ${state} may reach the next life, and finds a place there`,
+    `an order ${state} may reach the next incarnation, which keeps a slot free for it`,
     async t => {
-      const {fleet, engine, now} = restartWithStray(settled)
-      report(fleet, engine.id, 0, [], now)
-      need(fleet, "b", now)
-      t.same(ordersOf(fleet, now), ["load b at 0"])
+      const {fleet, engine, now} = restartWithUnconfirmedLoad(hasTimedOut)
+      reportAdapters(fleet, engine.id, 0, [], now)
+      requestWeights(fleet, "b", now)
+      t.same(planOrders(fleet, now), ["load b at 0"])
       handleOrderResult(fleet, engine.id, "accepted", now)
-      need(fleet, "c", now)
+      requestWeights(fleet, "c", now)
       t.same(
-        ordersOf(fleet, now),
+        planOrders(fleet, now),
         [],
-        "the last place is left to the order of the last life"
+        "the last slot stays free for the order to the last incarnation"
       )
-      report(fleet, engine.id, 4, ["b"], now + 500)
+      reportAdapters(fleet, engine.id, 4, ["b"], now + 500)
       t.same(
-        ordersOf(fleet, now + 500),
+        planOrders(fleet, now + 500),
         ["load c at 4"],
-        "its count is past: it is refused now"
+        "that order would now be refused because the sequence has moved on"
       )
     }
   )
 }
 
-t.test("an order of the last life is awaited for some seconds at most", async t => {
-  const {fleet, engine, now} = restartWithStray(true)
-  report(fleet, engine.id, 0, ["b"], now)
-  need(fleet, "c", now)
-  t.same(ordersOf(fleet, now), [])
+t.test("an order to the last incarnation keeps a slot free for seconds only", async t => {
+  const {fleet, engine, now} = restartWithUnconfirmedLoad(true)
+  reportAdapters(fleet, engine.id, 0, ["b"], now)
+  requestWeights(fleet, "c", now)
+  t.same(planOrders(fleet, now), [])
   const late = now + 12_000
-  report(fleet, engine.id, 0, ["b"], late)
-  need(fleet, "c", late)
-  t.same(ordersOf(fleet, late), ["load c at 0"])
+  reportAdapters(fleet, engine.id, 0, ["b"], late)
+  requestWeights(fleet, "c", late)
+  t.same(planOrders(fleet, late), ["load c at 0"])
 })
 
-t.test("an engine that answers from another life is not ordered nor sent to", async t => {
-  const fleet = createFleet(0)
-  updateEngines(fleet, SERVICES, [OLD], 0)
-  report(fleet, OLD.id, 3, ["a"], 0)
-  planFleet(fleet, true, 0)
-  drainFleet(fleet)
-  handleIncarnationEnd(fleet, OLD.id, 10)
-  need(fleet, "b", 20)
-  planFleet(fleet, true, 20)
-  const effects = drainFleet(fleet)
-  t.notOk(effects.some(({type}) => type === "order"))
-  const changes = effects.flatMap(effect =>
-    effect.type === "places" ? effect.changes : []
-  )
-  t.ok(
-    changes.some(({gone}) => gone.includes("base/a")),
-    "boxes are told"
-  )
-})
+t.test(
+  "an engine that answers as another incarnation gets no orders or requests",
+  async t => {
+    const fleet = createFleet(0)
+    updateEngines(fleet, SERVICES, [OLD], 0)
+    reportAdapters(fleet, OLD.id, 3, ["a"], 0)
+    planFleet(fleet, true, 0)
+    drainFleet(fleet)
+    handleIncarnationEnd(fleet, OLD.id, 10)
+    requestWeights(fleet, "b", 20)
+    planFleet(fleet, true, 20)
+    const effects = drainFleet(fleet)
+    t.notOk(effects.some(({type}) => type === "order"))
+    const changes = effects.flatMap(effect =>
+      effect.type === "places" ? effect.changes : []
+    )
+    t.ok(
+      changes.some(({gone}) => gone.includes("base/a")),
+      "boxes are notified"
+    )
+  }
+)
