--- a/test/server-rates.test.ts
+++ b/test/server-rates.test.ts
@@ -1,7 +1,7 @@
 /**
- * A backend server's answers name the rate that it takes from all boxes together, and all boxes keep to it.
- *
- * Seen: an engine that had named 1.2 requests a second got 15 in 4 s from boxes that it had told.
+ * A backend server advertises, in its answers, the rate that it accepts from all boxes
+ * together, and all boxes keep to it. Guards against a failure in which an engine that had
+ * advertised 1.2 requests a second got 15 in 4 s from boxes that had received the limit.
  */
 import {setTimeout as sleep} from "node:timers/promises"
 import t from "tap"
@@ -18,13 +18,13 @@
 } from "./support/platform-bed.js"
 import {until} from "./support/wait.js"
 
-/** Between two requests of the callers, milliseconds. */
+/** Interval between the requests of the callers. */
 const PAUSE_MS = 20
 
-/** What is refused at once takes no longer, milliseconds. */
+/** Longest time within which a request counts as refused at once. */
 const AT_ONCE_MS = 300
 
-/** What a server may get is counted over spans of this length, milliseconds. */
+/** Length of the window over which the requests to a server are counted. */
 const SPAN_MS = 4_000
 
 interface TimedOutcome extends Outcome {
@@ -62,16 +62,16 @@
     return judgeRates(judge, {calls: this.calls, exemptions: [], restarts: judge.reborn})
   }
 
-  /** Requests that reached the worker within the last span. */
-  lately(worker: StandInWorker): number {
+  /** Returns how many requests reached the worker within the last `SPAN_MS`. */
+  countRecentArrivals(worker: StandInWorker): number {
     const from = performance.now() - SPAN_MS
     return this.bed.judge.arrived.filter(
-      each => each.worker === worker.id && each.at > from
+      request => request.worker === worker.id && request.at > from
     ).length
   }
 
-  /** The engine that holds the adapter. */
-  holder(adapter: string): StandInWorker {
+  /** Returns the engine that holds the adapter. */
+  findHolder(adapter: string): StandInWorker {
     const holder = this.bed.engines.find(engine => engine.adapters.has(adapter))
     if (!holder) throw new Error(`no engine holds ${adapter}`)
     return holder
@@ -80,12 +80,12 @@
 
 if (!passOverIfRed("server-rates")) playAll()
 
-/** The steps of a request, from the logs alone. */
+/** Returns the steps of a request as the logs explain them. */
 function explain(logs: string, request: string): string[] {
-  const whole = logs
+  const completeLines = logs
     .split("\n")
     .filter(line => line.startsWith("{") && line.endsWith("}"))
-  const lines = whole.map(line => JSON.parse(line) as LogLine)
+  const lines = completeLines.map(line => JSON.parse(line) as LogLine)
   return explainRequest(lines, request)?.steps.map(({text}) => text) ?? []
 }
 
@@ -97,25 +97,29 @@
   return new Subject(bed)
 }
 
-function served(outcomes: readonly Outcome[]): number {
+function countServed(outcomes: readonly Outcome[]): number {
   return outcomes.filter(({status}) => status === 200).length
 }
 
 function playAll(): void {
-  t.test("an engine in need gets no more than it takes, and others serve", async t => {
-    const subject = await open(t, {boxes: 4, engines: 2, plain: 1})
-    await subject.callFor(300, "/stream/x", "a1")
-    const engine = subject.holder("a1")
-    engine.nameRate("1.2")
-    const outcomes = await subject.callFor(8_000, "/stream/x", "a1")
-    t.same(subject.violations(), [])
-    t.ok(subject.lately(engine) <= 6, `${subject.lately(engine)} in the last 4 s`)
-    const share = served(outcomes) / outcomes.length
-    t.ok(share > 0.9, `${share} served`)
-  })
+  t.test(
+    "a rate-limited engine gets no more than it accepts, and others serve",
+    async t => {
+      const subject = await open(t, {boxes: 4, engines: 2, plain: 1})
+      await subject.callFor(300, "/stream/x", "a1")
+      const engine = subject.findHolder("a1")
+      engine.nameRate("1.2")
+      const outcomes = await subject.callFor(8_000, "/stream/x", "a1")
+      t.same(subject.violations(), [])
+      const arrivals = subject.countRecentArrivals(engine)
+      t.ok(arrivals <= 6, `${arrivals} in the last 4 s`)
+      const share = countServed(outcomes) / outcomes.length
+      t.ok(share > 0.9, `${share} served`)
+    }
+  )
 
   t.test(
-    "a service whose only server is in need has the rest refused at once",
+    "a service whose only server is rate-limited refuses the excess at once",
     async t => {
       const subject = await open(t, {boxes: 4, engines: 1, plain: 1})
       const [worker] = subject.bed.plain as [StandInWorker]
@@ -124,51 +128,55 @@
       await subject.callFor(4_500, "/safe/x")
       const outcomes = await subject.callFor(5_000, "/safe/x")
       t.same(subject.violations(), [])
-      const lately = subject.lately(worker)
-      t.ok(lately >= 9 && lately <= 10, `${lately} of 10 in the last 4 s`)
+      const arrivals = subject.countRecentArrivals(worker)
+      t.ok(arrivals >= 9 && arrivals <= 10, `${arrivals} of 10 in the last 4 s`)
       const refused = outcomes.filter(({status}) => status !== 200)
-      t.ok(refused.length > 100, "most are refused")
+      t.ok(refused.length > 100, "most requests are refused")
       t.same(
         refused.filter(({status, tookMs}) => status !== 503 || tookMs > AT_ONCE_MS),
         [],
-        "as not run, and at once"
+        "with status 503, and at once"
       )
       t.same(
         refused.filter(({headers}) => !(Number(headers["retry-after"]) > 0)),
         [],
-        "and told when to come back"
+        "with a Retry-After header"
       )
       const {id = ""} = refused.at(-1) ?? {}
-      const story = (): string[] => explain(subject.bed.logs(), id)
-      await until("its end is logged", () => story().length > 1)
-      t.match(story().join("; "), /takes 2.5 requests a second from all boxes/)
+      const steps = (): string[] => explain(subject.bed.logs(), id)
+      await until("its end is logged", () => steps().length > 1)
+      t.match(steps().join("; "), /takes 2.5 requests a second from all boxes/)
     }
   )
 
-  t.test("an answer that names none ends it everywhere", async t => {
+  t.test("an answer without a rate ends the limit at all boxes", async t => {
     const subject = await open(t, {boxes: 3, engines: 1, plain: 1})
     const [worker] = subject.bed.plain as [StandInWorker]
     worker.nameRate("1")
     await subject.callFor(2_000, "/safe/x")
     worker.nameRate(undefined)
-    await until("all is served", async () => {
+    await until("all requests are served", async () => {
       const outcomes = await Promise.all([1, 2, 3].map(() => subject.call("/safe/x")))
-      return served(outcomes) === outcomes.length
+      return countServed(outcomes) === outcomes.length
     })
     const outcomes = await subject.callFor(500, "/safe/x")
-    t.equal(served(outcomes), outcomes.length)
+    t.equal(countServed(outcomes), outcomes.length)
   })
 
-  t.test("the next life of a server has named nothing", async t => {
+  t.test("the rate limit of a server ends with its incarnation", async t => {
     const subject = await open(t, {boxes: 2, engines: 1, plain: 1})
     const [worker] = subject.bed.plain as [StandInWorker]
     worker.nameRate("0")
     await subject.callFor(500, "/safe/x")
-    t.equal(served(await subject.callFor(500, "/safe/x")), 0, "it takes nothing")
+    t.equal(
+      countServed(await subject.callFor(500, "/safe/x")),
+      0,
+      "it accepts no requests"
+    )
     worker.nameRate(undefined)
     await worker.restart()
     await until(
-      "it is served",
+      "a request is served",
       async () => {
         return (await subject.call("/safe/x")).status === 200
       },
@@ -176,18 +184,18 @@
     )
   })
 
-  t.test("what is no rate binds nobody", async t => {
+  t.test("an invalid rate sets no limit", async t => {
     const subject = await open(t, {boxes: 1, engines: 1, plain: 1})
     const [worker] = subject.bed.plain as [StandInWorker]
     for (const rate of ["-1", "NaN", "1e9", "", "many", "9".repeat(400)]) {
       worker.nameRate(rate)
       const outcomes = await subject.callFor(200, "/safe/x")
-      t.equal(served(outcomes), outcomes.length, `after "${rate.slice(0, 10)}"`)
+      t.equal(countServed(outcomes), outcomes.length, `after "${rate.slice(0, 10)}"`)
     }
-    t.match(subject.bed.logs(), /"event":230/, "the log tells it")
+    t.match(subject.bed.logs(), /"event":230/, "the invalid rate is logged")
     worker.nameRate(["400", "0.5"])
     await subject.callFor(500, "/safe/x")
     const outcomes = await subject.callFor(1_000, "/safe/x")
-    t.ok(served(outcomes) < 3, "named twice, the lower one counts")
+    t.ok(countServed(outcomes) < 3, "of two advertised rates the lower one counts")
   })
 }
--- a/test/store-era-starts.test.ts
+++ b/test/store-era-starts.test.ts
@@ -1,7 +1,8 @@
 /**
- * Boxes that start as the store has come back from an older copy: they have no memory of what was
- * acknowledged before, and the copy holds servers that had left. Pattern: all boxes are killed while the
- * store is away, so that nobody who lives remembers.
+ * Boxes that start when the store was just restored from an older backup. They have no record
+ * of what was acknowledged before, and the backup contains servers that had left. In the first
+ * test all boxes are killed while the store is unavailable, so that no process has such a
+ * record.
  */
 import {setTimeout as sleep} from "node:timers/promises"
 import t from "tap"
@@ -9,39 +10,50 @@
 import {type BedBox, PlatformBed} from "./support/platform-bed.js"
 import {until} from "./support/wait.js"
 
-/** A server that left gets nothing new after this, with a margin, milliseconds. */
+/** A server that left gets no new requests after this time, which includes a margin. */
 const DRAIN_MS = 2_500
 
-/** Between a server's leaving and the drill: longer than `DRAIN_MS`, so that all of it has been well. */
-const WELL_MS = 2_800
+/**
+ * Time from a server's leaving until the drill. Longer than `DRAIN_MS`, so that the server
+ * has been drained without faults.
+ */
+const DRAINED_MS = 2_800
 
-/** How old the copy is: it holds the server. */
-const COPY_MS = WELL_MS + 1_500
+/** Age of the backup, which still contains the server. */
+const BACKUP_AGE_MS = DRAINED_MS + 1_500
 
-/** The entries that the copy has too much go after this, with a margin, milliseconds. */
-const LAPSED_MS = 1_500
+/** Restored entries of servers that had left expire within this time, which includes a margin. */
+const EXPIRED_MS = 1_500
 
-/** A new box uses servers again once entries of the copy have gone: five seconds after it started, and some. */
-const DOUBT_MS = 6_500
+/**
+ * A new box uses servers again once restored entries have expired, five seconds after it
+ * started. Includes a margin.
+ */
+const STALE_MS = 6_500
 
-/** Processes may start slowly beside others; without faults all is served again within this, milliseconds. */
+/**
+ * Without faults all requests are served again within this time. Generous because processes
+ * may start slowly beside others.
+ */
 const RECOVERY_MS = 20_000
 
-/** Where the settled era stands, and between its removal and the configuration that needs keys, milliseconds. */
+/** Store key of the settled era. */
 const SETTLED_KEY = "sedge/settled-era"
+
+/** Time from the removal of the settled era to the configuration that requires keys. */
 const BEFORE_KEYS_MS = 400
 
-/** The leader stands still for so long: a box that starts is on its own, milliseconds. */
-const STILL_MS = 3_000
+/** How long the leader is paused, so that a box that starts has no leader. */
+const PAUSE_MS = 3_000
 
-/** The number of the event with which a box tells that it waits. */
-const DOUBTED = 221
+/** Number of the log event of a box that starts to wait until restored entries expire. */
+const WAIT_EVENT = 221
 
-/** When the last box began to wait, Unix milliseconds. */
-function doubtedAt(bed: PlatformBed): number {
+/** Returns when the last box began to wait, in Unix milliseconds. */
+function lastWaitAt(bed: PlatformBed): number {
   const lines = bed.logs().split("\n")
-  const told = lines.filter(line => line.includes(`"event":${DOUBTED},`))
-  const times = told.map(line => (JSON.parse(line) as {time: number}).time)
+  const waits = lines.filter(line => line.includes(`"event":${WAIT_EVENT},`))
+  const times = waits.map(line => (JSON.parse(line) as {time: number}).time)
   return Math.max(0, ...times)
 }
 
@@ -65,16 +77,16 @@
     const bed = await PlatformBed.start({boxes: 2, engines: 1, plain: 3})
     t.teardown(() => bed.stop())
     const [left] = bed.plain as [StandInWorker]
-    // The system has run for longer than the copy will be old.
-    await callFor(bed, COPY_MS)
+    // The system has run for longer than the age of the backup.
+    await callFor(bed, BACKUP_AGE_MS)
     t.ok(bed.judge.runs.some(({worker}) => worker === left.id))
     left.vanish()
     const drainedAt = performance.now()
-    await sleep(WELL_MS)
-    const drill = bed.store.drill({copyAgeMs: COPY_MS, awayMs: 700})
+    await sleep(DRAINED_MS)
+    const drill = bed.store.drill({copyAgeMs: BACKUP_AGE_MS, awayMs: 700})
     await restartAll(bed)
     await drill
-    await callFor(bed, LAPSED_MS)
+    await callFor(bed, EXPIRED_MS)
     const late = bed.judge.runs
       .filter(({worker, reached}) => worker === left.id && reached > drainedAt + DRAIN_MS)
       .map(({reached}) => Math.round(reached - drainedAt))
@@ -83,35 +95,36 @@
     const isServed = async (): Promise<boolean> =>
       (await bed.call(box, "/safe/x")).status === 200
     await until("servers that stayed are used again", isServed, RECOVERY_MS)
-    const doubtedMs = Date.now() - doubtedAt(bed)
-    t.ok(doubtedMs < DOUBT_MS, `${doubtedMs} ms after the last box began to doubt`)
+    const waitedMs = Date.now() - lastWaitAt(bed)
+    t.ok(waitedMs < STALE_MS, `${waitedMs} ms after the last box began to wait`)
   }
 )
 
-// Seen in a soak: a box that started 2.6 s after a drill served by the copy's configuration, which needed no keys. The
-// copy was older than the key that tells which era is settled.
-t.test("a box that starts after a drill does not serve by the copy's rules", async t => {
+// Guards against a failure of a soak test: a box that started 2.6 s after a drill served by
+// the restored configuration, which required no keys. The backup was older than the store
+// key of the settled era.
+t.test("a box that starts after a drill does not serve by restored rules", async t => {
   const bed = await PlatformBed.start({boxes: 2, engines: 1, plain: 2})
   t.teardown(() => bed.stop())
   await until("an era is settled", () => bed.store.read(SETTLED_KEY) !== undefined)
   bed.store.remove(SETTLED_KEY)
-  const copiedAt = performance.now()
+  const removedAt = performance.now()
   await sleep(BEFORE_KEYS_MS)
   bed.tenants = [{name: "org", apiKeys: ["key"]}]
   bed.configure()
   const [first, second] = bed.boxes as [BedBox, BedBox]
   const isRefused = async (box: BedBox): Promise<boolean> =>
     (await bed.call(box, "/safe/x")).status === 401
-  for (const box of bed.boxes) await until("keys are needed", () => isRefused(box))
+  for (const box of bed.boxes) await until("keys are required", () => isRefused(box))
   const leader = bed.leader() ?? first
   const other = leader === first ? second : first
   await other.child.end("SIGKILL")
   leader.child.signal("SIGSTOP")
-  const copyAgeMs = performance.now() - copiedAt - BEFORE_KEYS_MS / 2
+  const copyAgeMs = performance.now() - removedAt - BEFORE_KEYS_MS / 2
   await bed.store.drill({copyAgeMs, awayMs: 50})
   bed.restartBox(other)
   const statuses = new Set<number>()
-  const end = performance.now() + STILL_MS
+  const end = performance.now() + PAUSE_MS
   while (performance.now() < end) {
     const {status} = await bed.call(other, "/safe/x", {deadlineMs: 500})
     statuses.add(status)
@@ -122,5 +135,5 @@
   bed.configure()
   const isServed = async (): Promise<boolean> =>
     (await bed.call(other, "/safe/x", {key: "key"})).status === 200
-  await until("it serves who holds a key", isServed, RECOVERY_MS)
+  await until("it serves callers with a key", isServed, RECOVERY_MS)
 })
--- a/test/store-era.test.ts
+++ b/test/store-era.test.ts
@@ -1,7 +1,8 @@
 /**
- * The store comes back from a copy that is some seconds old: what was written since is gone, leases too, and
- * revisions are given out again for other changes. Each test is one belief that rested on revisions that only
- * grow, on leases that end by time alone, or on a reading that tells what has not been written yet.
+ * The store is restored from a backup that is some seconds old: later writes and leases are
+ * lost, and their revisions are assigned again to other changes. Each test covers a rule that
+ * would break if it relied on revisions that only grow, on leases that end only by time, or
+ * on a store read to show what has not been written yet.
  */
 import {setTimeout as sleep} from "node:timers/promises"
 import t from "tap"
@@ -13,19 +14,19 @@
 import {type BedBox, PlatformBed} from "./support/platform-bed.js"
 import {until} from "./support/wait.js"
 
-/** Writes that make later revisions much higher than the copy's. */
+/** Number of writes that make later revisions much higher than those of the backup. */
 const MANY_WRITES = 500
 
-/** From a version's acknowledgement until no request begins on an older one, milliseconds. */
+/** Time from a version's acknowledgement until no request begins on an older version. */
 const VERSION_MS = 5_000
 
-/** A server that left gets nothing new after this, with a margin, milliseconds. */
+/** A server that left gets no new requests after this time, which includes a margin. */
 const DRAIN_MS = 2_500
 
-/** The time that a caller has, milliseconds. */
-const CALLER_MS = 4_000
+/** Deadline of a caller, including its retries. */
+const CALLER_DEADLINE_MS = 4_000
 
-/** A route whose callers wait longer for a first event than any version stays in use. */
+/** A route whose callers wait longer for a first event than a replaced version stays in use. */
 const PATIENT_ROUTE = {
   name: "patient",
   pathPrefix: "/patient/",
@@ -42,21 +43,21 @@
   for (let i = 0; i < MANY_WRITES; i++) bed.store.write("other/key", {i})
 }
 
-/** Whether a caller is served in the time that it has; one that is told to come back does, as often as that allows. */
+/** Whether a caller is served within its deadline. It retries as Retry-After headers ask. */
 async function isServed(bed: PlatformBed, adapter: string): Promise<boolean> {
   const [box] = bed.boxes as [BedBox]
-  const end = performance.now() + CALLER_MS
+  const end = performance.now() + CALLER_DEADLINE_MS
   for (;;) {
     const deadlineMs = Math.round(end - performance.now())
     const options = {adapter, body: "{}", deadlineMs}
     const {status, headers} = await bed.call(box, "/stream/x", options)
-    const comeBackMs = 1_000 * Number(headers["retry-after"])
-    if (status !== 503 || !(performance.now() + comeBackMs < end)) return status === 200
-    await sleep(comeBackMs)
+    const retryAfterMs = 1_000 * Number(headers["retry-after"])
+    if (status !== 503 || !(performance.now() + retryAfterMs < end)) return status === 200
+    await sleep(retryAfterMs)
   }
 }
 
-t.test("an entry is read though it has the revision of one that is lost", async t => {
+t.test("an entry with the revision of a lost one is applied", async t => {
   const bed = await PlatformBed.start({boxes: 2, engines: 2, plain: 0})
   t.teardown(() => bed.stop())
   t.ok(await isServed(bed, "a1"))
@@ -72,27 +73,28 @@
   })
 })
 
-// What the copy lacks may have been acknowledged before: a reading of it does not tell from when a version counts.
-t.test("a version's time does not begin anew as it is written again", async t => {
+// A version that the backup lacks may have been acknowledged before the restore, so a store
+// read without it does not limit the version's age.
+t.test("a version's age does not restart when it is written again", async t => {
   const engine = {maxAdapters: 1, events: 1_200, gapMs: 10}
   const bed = await PlatformBed.start({boxes: 1, engines: 1, plain: 0, engine})
   t.teardown(() => bed.stop())
   const [box] = bed.boxes as [BedBox]
   const [worker] = bed.engines as [StandInWorker]
   bed.configure([PATIENT_ROUTE])
-  await until("the route is there", async () => {
+  await until("the route exists", async () => {
     const {status} = await bed.call(box, "/patient/x", {body: "{}"})
     return status !== 404
   })
   const running = bed.call(box, "/stream/x", {adapter: "a1", body: "{}"})
-  await until("it runs", () => bed.judge.runs.some(run => run.adapter === "a1"))
+  await until("the request runs", () => bed.judge.runs.some(run => run.adapter === "a1"))
   await sleep(1_500)
-  // No box reads it before the store goes away.
+  // No box reads the version before the store becomes unavailable.
   bed.store.faults = {deaf: true}
   bed.bump("a1", 2)
-  const namedAt = performance.now()
+  const announcedAt = performance.now()
   await bed.store.drill({copyAgeMs: 1_000, awayMs: 300})
-  await sleep(namedAt + 3_000 - performance.now())
+  await sleep(announcedAt + 3_000 - performance.now())
   worker.faults = {queueMs: 2_600}
   bed.store.write("op/version/base.a1", {model: "base", adapter: "a1", version: 2})
   const call = (): Promise<unknown> =>
@@ -102,17 +104,17 @@
     late.push(call())
     await sleep(150)
   }
-  await sleep(namedAt + 9_000 - performance.now())
+  await sleep(announcedAt + 9_000 - performance.now())
   const begun = bed.judge.runs.filter(
     ({adapter, version, at}) =>
-      adapter === "a1" && version < 2 && at - namedAt > VERSION_MS
+      adapter === "a1" && version < 2 && at - announcedAt > VERSION_MS
   )
-  t.same(begun, [], "nothing begins on it after five seconds")
+  t.same(begun, [], "no request begins on version 1 after five seconds")
   await bed.stop()
   await Promise.allSettled([running, ...late])
 })
 
-t.test("the fences of orders never fall, and loads go on", async t => {
+t.test("the fencing tokens of orders never decrease, and loads continue", async t => {
   const bed = await PlatformBed.start({boxes: 3, engines: 2, plain: 0})
   t.teardown(() => bed.stop())
   await sleep(1_500)
@@ -122,19 +124,22 @@
   bed.restartBox(first)
   await bed.ready()
   t.ok(await isServed(bed, "a1"), "the second leader loads")
-  const seconds = bed.judge.orders.length
+  const orderCount = bed.judge.orders.length
   await bed.store.drill({copyAgeMs: 12_000, awayMs: 200})
-  // By then each box has noticed, and one leads by a claim that follows the copy's.
+  // By then each box has noticed the restore, and one leads by a claim made after it.
   await sleep(2_000)
   const served = await isServed(bed, "a7")
   t.ok(served, "an adapter that no engine holds is served")
   if (!served) t.comment(bed.logs())
-  const highest = Math.max(...bed.judge.orders.slice(0, seconds).map(({fence}) => fence))
-  for (const {fence} of bed.judge.orders.slice(seconds)) t.ok(fence >= highest)
+  const highest = Math.max(
+    ...bed.judge.orders.slice(0, orderCount).map(({fence}) => fence)
+  )
+  for (const {fence} of bed.judge.orders.slice(orderCount)) t.ok(fence >= highest)
 })
 
-// It goes on serving without a word; a copy in which its entry stands does not bring it back.
-t.test("a server that had left gets nothing because the copy holds it", async t => {
+// The server's entry was removed without an announcement, but the server still answers. A
+// backup that contains its entry must not bring it back.
+t.test("a restored entry brings no requests to a server that had left", async t => {
   const bed = await PlatformBed.start({boxes: 2, engines: 1, plain: 3})
   t.teardown(() => bed.stop())
   const [worker] = bed.plain as [StandInWorker]
@@ -153,7 +158,7 @@
   t.ok(bed.judge.runs.length > 100)
 })
 
-t.test("a server's next life counts though its entry has a lower revision", async t => {
+t.test("a server's next incarnation counts although its revision is lower", async t => {
   const bed = await PlatformBed.start({boxes: 2, engines: 1, plain: 1})
   t.teardown(() => bed.stop())
   const [worker] = bed.plain as [StandInWorker]
@@ -161,30 +166,30 @@
   raiseRevision(bed)
   await sleep(1_500)
   await worker.restart({moved: true})
-  await until("its second life is served", async () => {
+  await until("its second incarnation serves", async () => {
     return (await bed.call(box, "/safe/x")).status === 200
   })
   await sleep(1_200)
   const returned = (): void => void worker.restart({moved: true})
   await bed.store.drill({copyAgeMs: 9_000, awayMs: 100, returned})
   await sleep(1_200)
-  await until("its third life is served", async () => {
+  await until("its third incarnation serves", async () => {
     return (await bed.call(box, "/safe/x")).status === 200
   })
 })
 
-t.test("a lease does not become another's that has its number", async t => {
+t.test("a lost lease is not kept alive through a new one with its number", async t => {
   const store = await StandInStore.start()
   t.teardown(() => store.stop())
   const connect = (): KvStore => {
     const eras = new StoreEras(() => undefined)
     return connectStore({address: store.address, timeoutMs: 400, watchMs: 900, eras})
   }
-  const kv = connect()
+  const holder = connect()
   const other = connect()
   await sleep(300)
-  const lease = await kv.grantLease(5_000)
+  const lease = await holder.grantLease(5_000)
   await store.drill({copyAgeMs: 250, awayMs: 10})
   await other.grantLease(5_000)
-  t.equal(await kv.keepAlive(lease), false)
+  t.equal(await holder.keepAlive(lease), false)
 })
--- a/test/store-eras.test.ts
+++ b/test/store-eras.test.ts
@@ -1,4 +1,7 @@
-/** Eras of the store in the single parts of a box: answers, positions, beliefs, the lead. */
+/**
+ * Eras of the store in the parts of a box: answers, positions, backend servers, versions and
+ * leadership.
+ */
 import {createServer, type Server} from "node:http"
 import type {AddressInfo} from "node:net"
 import {setTimeout as sleep} from "node:timers/promises"
@@ -37,7 +40,10 @@
 import type {BackendRecord} from "../src/types/fleet.js"
 import {Subject} from "./support/box-subject.js"
 
-/** A store that answers each call with the next of some eras, at the same revision. */
+/**
+ * Starts a store that answers each call with the next era of the list, always at the same
+ * revision, and returns its address.
+ */
 async function serveEras(
   t: Test,
   headers: readonly (string | undefined)[]
@@ -63,40 +69,40 @@
 interface Connected {
   readonly kv: KvStore
   readonly eras: StoreEras
-  readonly told: string[]
+  readonly logged: string[]
 }
 
 function connect(address: string): Connected {
-  const told: string[] = []
+  const logged: string[] = []
   const eras = new StoreEras((event, fields) =>
-    told.push([event, ...Object.values(fields ?? {})].join(" "))
+    logged.push([event, ...Object.values(fields ?? {})].join(" "))
   )
   const kv = connectStore({address, timeoutMs: 400, watchMs: 900, eras})
-  return {kv, eras, told}
+  return {kv, eras, logged}
 }
 
-t.test("a store that tells no era stays at one", async t => {
-  const {kv, eras, told} = connect(await serveEras(t, [undefined]))
+t.test("a store without eras has no era change", async t => {
+  const {kv, eras, logged} = connect(await serveEras(t, [undefined]))
   const {entries, era} = await kv.list("a/")
   t.equal(era, undefined)
   t.equal(entries[0]?.era, undefined)
   t.equal(eras.era, undefined)
-  t.same(told, [])
+  t.same(logged, [])
 })
 
 t.test(
-  "an answer without an era, with a lower one or with none that is a number",
+  "an answer without an era, with a lower or an invalid one keeps the known era",
   async t => {
     const headers = ["3", undefined, "2", "x", "3", "-1", "1e3", "99999", "4"]
-    const {kv, eras, told} = connect(await serveEras(t, headers))
+    const {kv, eras, logged} = connect(await serveEras(t, headers))
     for (let i = 0; i < headers.length - 1; i++) {
       const {era, entries} = await kv.list("a/")
-      t.equal(era, 3, `answer ${i} is of the era that is known`)
-      t.equal(entries.length, 1, "nothing is lost")
+      t.equal(era, 3, `answer ${i} counts for the known era`)
+      t.equal(entries.length, 1, "its entries are kept")
     }
     t.equal((await kv.list("a/")).era, 4)
     t.equal(eras.era, 4)
-    t.same(told, [
+    t.same(logged, [
       "era-odd none told  3",
       "era-odd falls 2 3",
       "era-odd no number x 3",
@@ -105,7 +111,7 @@
   }
 )
 
-t.test("an answer to a call from before the rise is not taken", async t => {
+t.test("an answer to a call from before a restore is rejected", async t => {
   const eras = new StoreEras(() => undefined)
   eras.resolveEra("1", 0)
   const sentAt = performance.now()
@@ -114,7 +120,7 @@
   t.throws(() => eras.resolveEra("1", sentAt), KvUnknown)
 })
 
-t.test("a watch that another era answers fails, and so do pages of two eras", async t => {
+t.test("a watch answered by another era fails, and so do pages of two eras", async t => {
   const {kv} = connect(await serveEras(t, ["1", "2"]))
   const {signal} = new AbortController()
   const watch = kv.watch("a/", {revision: 7, era: 1}, () => undefined, signal)
@@ -128,27 +134,27 @@
 })
 
 t.test(
-  "positions and fences of a later era are higher, whatever their revisions",
+  "positions and fencing tokens of a later era are higher, whatever their revisions",
   async t => {
     t.ok(isLaterPosition({revision: 1, era: 2}, {revision: 900, era: 1}))
     t.notOk(isLaterPosition({revision: 900, era: 1}, {revision: 1, era: 2}))
     t.ok(toFence({revision: 1, era: 2}) > toFence({revision: 10 ** 9, era: 1}))
-    t.equal(toFence({revision: 12}), 12, "without eras as it was")
+    t.equal(toFence({revision: 12}), 12, "the revision itself without eras")
     t.ok(Number.isSafeInteger(toFence({revision: 2 ** 40 - 1, era: 8_191})))
   }
 )
 
-t.test("another box's word of an era counts with its age", async t => {
+t.test("another box's report of an era counts with its age", async t => {
   const eras = new StoreEras(() => undefined)
-  const rises: boolean[] = []
-  eras.onChange((_, rose) => rises.push(rose))
+  const restores: boolean[] = []
+  eras.onChange((_, isRestore) => restores.push(isRestore))
   eras.resolveEra("3", performance.now())
   eras.handleReport({era: 3, ageMs: 60_000, risen: false})
   t.ok((eras.report(performance.now())?.ageMs ?? 0) >= 60_000)
   eras.handleReport({era: 4, ageMs: 500, risen: true})
   eras.handleReport({era: 3, ageMs: 0, risen: true})
   t.match(eras.known, {era: 4, restored: true})
-  t.same(rises, [false, false, true])
+  t.same(restores, [false, false, true])
 })
 
 const STARTED: BackendRecord = {
@@ -163,7 +169,7 @@
   models: []
 }
 
-t.test("a life that ended does not come back with a copy", async t => {
+t.test("an older backup does not bring back an ended incarnation", async t => {
   const next = {...STARTED, id: "w~2", revision: 90}
   const at = (now: number): {source: "store"; readAt: number} => ({
     source: "store",
@@ -176,52 +182,63 @@
   t.same([...list.known.keys()], ["w~2"])
   const third = {...STARTED, id: "w~3", revision: 12, era: 2}
   list = applyBackendList(list, [third], at(3_000), 3_000)
-  t.same([...list.known.keys()], ["w~3"], "a newer one does, with a lower revision")
+  t.same(
+    [...list.known.keys()],
+    ["w~3"],
+    "a newer one counts, although its revision is lower"
+  )
 })
 
 t.test(
-  "a server that was gone is back only when it outlasts the copy's entries",
+  "a server that had left is back only if its entry outlasts restored entries",
   async t => {
     const at = (now: number): {source: "store"; readAt: number} => ({
       source: "store",
       readAt: now
     })
-    const copied = {...STARTED, era: 2}
+    const restoredEntry = {...STARTED, era: 2}
     let list = applyBackendList(createBackendList(), [STARTED], at(0), 0)
     list = applyBackendList(list, [], at(1_000), 1_000)
     list = recordRestore(list, 2_000, 2_000)
-    list = applyBackendList(list, [copied], at(2_010), 2_010)
+    list = applyBackendList(list, [restoredEntry], at(2_010), 2_010)
     t.notOk(isUsable(list, "w~1"))
-    t.ok(isUsable(expireBackends(list, 7_001), "w~1"), "its entry is still there")
-    const lapsed = applyBackendList(list, [], at(5_500), 5_500)
-    t.notOk(isUsable(expireBackends(lapsed, 7_001), "w~1"), "it is not")
+    t.ok(isUsable(expireBackends(list, 7_001), "w~1"), "its entry still exists")
+    const expired = applyBackendList(list, [], at(5_500), 5_500)
+    t.notOk(isUsable(expireBackends(expired, 7_001), "w~1"), "its entry has expired")
   }
 )
 
-// Found by the specification of copies: the box had started after the server left, and read no list that held it.
-t.test("a server that was not known as the era rose may have left before", async t => {
+// Guards against a box that started after the server left: no list that it has read contains
+// the server, so it cannot tell that the restored entry is outdated.
+t.test("a server unknown at the time of a restore may have left before", async t => {
   const at = (now: number): {source: "store"; readAt: number} => ({
     source: "store",
     readAt: now
   })
-  const copied = {...STARTED, era: 2}
-  const read = applyBackendList(createBackendList(), [], at(1_000), 1_000)
-  const risen = recordRestore(read, 2_000, 2_000)
+  const restoredEntry = {...STARTED, era: 2}
+  const empty = applyBackendList(createBackendList(), [], at(1_000), 1_000)
+  const restored = recordRestore(empty, 2_000, 2_000)
   for (const list of [
-    applyBackendList(risen, [copied], at(2_010), 2_010),
-    applyBackendUpdate(risen, "w", copied, at(2_010), 2_010)
+    applyBackendList(restored, [restoredEntry], at(2_010), 2_010),
+    applyBackendUpdate(restored, "w", restoredEntry, at(2_010), 2_010)
   ]) {
     t.notOk(isUsable(list, "w~1"))
-    t.ok(isUsable(expireBackends(list, 7_001), "w~1"), "its entry is still there")
-    const lapsed = applyBackendUpdate(list, "w", undefined, at(5_000), 5_000)
-    t.notOk(isUsable(expireBackends(lapsed, 7_001), "w~1"), "it is not")
+    t.ok(isUsable(expireBackends(list, 7_001), "w~1"), "its entry still exists")
+    const expired = applyBackendUpdate(list, "w", undefined, at(5_000), 5_000)
+    t.notOk(isUsable(expireBackends(expired, 7_001), "w~1"), "its entry has expired")
   }
-  const told = applyBackendList(risen, [copied], {source: "box", readAt: 2_010}, 2_010)
-  t.ok(isUsable(told, "w~1"), "a box that remembers more vouches for it")
+  const reported = applyBackendList(
+    restored,
+    [restoredEntry],
+    {source: "box", readAt: 2_010},
+    2_010
+  )
+  t.ok(isUsable(reported, "w~1"), "usable if reported by a box with older records")
 })
 
-// Seen in a soak: plain requests were refused for 20 s by a box that had asked others for news as the era rose.
-t.test("that the store served others ends no doubt that the rise has set", async t => {
+// Guards against a failure of a soak test: a box that requested a store snapshot from other
+// boxes during a restore refused plain requests for 20 s.
+t.test("a store that serves other boxes keeps the expiry set at a restore", async t => {
   const at = (now: number): {source: "store"; readAt: number} => ({
     source: "store",
     readAt: now
@@ -238,7 +255,7 @@
 })
 
 t.test(
-  "what vanished in an outage that ends with a rise is not in doubt for ever",
+  "a server that vanished in an outage that ends with a restore expires",
   async t => {
     const at = (now: number): {source: "store"; readAt: number} => ({
       source: "store",
@@ -252,24 +269,25 @@
   }
 )
 
-// A leader tells of a server as gone whose entry it has not heard of in time, and tells it again as it does.
+// A leader reports a server as gone if it has not received its entry in time, and reports
+// the server again when it receives the entry.
 t.test(
-  "a server that is told gone after the rise is back as soon as it is told",
+  "a server reported gone after a restore is back as soon as it is reported",
   async t => {
-    const told = (now: number): {source: "box"; readAt: number} => ({
+    const byBox = (now: number): {source: "box"; readAt: number} => ({
       source: "box",
       readAt: now
     })
-    let list = applyBackendList(createBackendList(), [STARTED], told(0), 0)
+    let list = applyBackendList(createBackendList(), [STARTED], byBox(0), 0)
     list = recordRestore(list, 2_000, 2_000)
-    list = applyBackendUpdate(list, "w~1", undefined, told(4_050), 4_050)
+    list = applyBackendUpdate(list, "w~1", undefined, byBox(4_050), 4_050)
     t.notOk(isUsable(list, "w~1"))
-    list = applyBackendUpdate(list, "w~1", {...STARTED, era: 2}, told(4_300), 4_300)
+    list = applyBackendUpdate(list, "w~1", {...STARTED, era: 2}, byBox(4_300), 4_300)
     t.ok(isUsable(list, "w~1"))
   }
 )
 
-t.test("a server that the copy lacks has time to write again", async t => {
+t.test("a server that the older backup lacks has time to write its entry", async t => {
   const at = (now: number): {source: "store"; readAt: number} => ({
     source: "store",
     readAt: now
@@ -281,7 +299,7 @@
   t.notOk(isUsable(expireBackends(list, 4_100), "w~1"))
 })
 
-t.test("a version that is written again counts from before the rise", async t => {
+t.test("the age of a version written again counts from before the restore", async t => {
   const subject = new Subject()
   const {box} = subject
   recordSnapshotTime(box, 1_000)
@@ -289,15 +307,19 @@
   recordSnapshotTime(box, 5_000)
   applyVersions(box, [["m/x", 2]], 5_100)
   t.equal(box.versions.get("m/x")?.at(-1)?.announcedAfter, 1_000)
-  t.notOk(isSnapshotCurrent(box, 5_100), "nor is a route known not to be there")
+  t.notOk(isSnapshotCurrent(box, 5_100), "a missing route is not certain either")
   recordSnapshotTime(box, 13_000)
   applyVersions(box, [["m/y", 2]], 13_100)
-  t.equal(box.versions.get("m/y")?.at(-1)?.announcedAfter, 13_000, "later it is as ever")
+  t.equal(
+    box.versions.get("m/y")?.at(-1)?.announcedAfter,
+    13_000,
+    "the snapshot time counts again later"
+  )
   t.ok(isSnapshotCurrent(box, 13_100))
 })
 
 t.test(
-  "a reading soon after a rise is none without what the rise before lost",
+  "a store read soon after a restore does not limit ages at the next restore",
   async t => {
     const {box} = new Subject()
     recordSnapshotTime(box, 1_000)
@@ -316,39 +338,39 @@
   orderGapMs: 3_000
 }
 
-t.test("no order leaves in a new era before the lead is claimed again", async t => {
-  const lead = createLeadership()
+t.test("no order is sent in a new era until leadership is claimed again", async t => {
+  const leadership = createLeadership()
   beginLeadership(
-    lead,
+    leadership,
     {fence: 5, lease: "1", sentAt: 0, eraBegunBy: -60_000},
     10,
     UNCHECKED
   )
-  t.ok(canOrder({...lead, validUntil: 9_000}, 3_300))
-  lead.validUntil = 9_000
-  suspendLeadership(lead)
-  t.notOk(canOrder(lead, 3_300))
+  t.ok(canOrder({...leadership, validUntil: 9_000}, 3_300))
+  leadership.validUntil = 9_000
+  suspendLeadership(leadership)
+  t.notOk(canOrder(leadership, 3_300))
   const claim = {fence: 9, lease: "2", sentAt: 3_350, eraBegunBy: 3_300}
-  confirmLeadership(lead, claim, 3_360, UNCHECKED)
-  t.ok(canOrder(lead, 3_361), "nobody else led in between")
-  t.equal(lead.fence, 9)
+  confirmLeadership(leadership, claim, 3_360, UNCHECKED)
+  t.ok(canOrder(leadership, 3_361), "no other box led in between")
+  t.equal(leadership.fence, 9)
 })
 
 t.test(
-  "who was not the leader waits for one of the era before, where no engine checks fences",
+  "a new leader waits for one of the era before if no engine checks fencing tokens",
   async t => {
     const claim = {fence: 9, lease: "2", sentAt: 1_000, eraBegunBy: 900}
-    const lead = createLeadership()
-    beginLeadership(lead, claim, 1_010, UNCHECKED)
-    t.equal(lead.orderFrom, 900 + 1_200 + 3_200)
+    const leadership = createLeadership()
+    beginLeadership(leadership, claim, 1_010, UNCHECKED)
+    t.equal(leadership.orderFrom, 900 + 1_200 + 3_200)
     const checked = createLeadership()
     beginLeadership(checked, claim, 1_010, {...UNCHECKED, checksFences: true})
     t.equal(checked.orderFrom, 1_010)
     const late = createLeadership()
-    const lapsed = {fence: 1, lease: "1", sentAt: -2_000}
-    beginLeadership(late, lapsed, -2_000, UNCHECKED)
+    const expired = {fence: 1, lease: "1", sentAt: -2_000}
+    beginLeadership(late, expired, -2_000, UNCHECKED)
     late.orderFrom = -2_000
     confirmLeadership(late, claim, 1_010, UNCHECKED)
-    t.equal(late.orderFrom, 900 + 1_200 + 3_200, "a lead that had lapsed is none")
+    t.equal(late.orderFrom, 900 + 1_200 + 3_200, "an expired leadership does not count")
   }
 )
--- a/test/store-follower.test.ts
+++ b/test/store-follower.test.ts
@@ -1,4 +1,4 @@
-/** Lists and watches of a box that follows the store, with a store that fails in one of them. */
+/** Lists and watches of a box that follows the store while the store fails one of them. */
 import t from "tap"
 import {type FollowerEvents, StoreFollower} from "../src/adapters/store-follower.js"
 import {LIST_INTERVAL_MS} from "../src/core/snapshot-age.js"
@@ -8,14 +8,14 @@
 
 const PREFIX = "a/"
 
-/** When each list was asked for, and what the follower told. */
+/** When each list was requested, and the failures that the follower reported. */
 interface Seen {
   readonly lists: number[]
-  readonly troubles: string[]
-  readonly cuts: string[]
+  readonly listFailures: string[]
+  readonly watchFailures: string[]
 }
 
-/** A store of which only lists and watches are asked; it cuts all watches. */
+/** A store with only lists and watches, which fails all watches. */
 function createStore(seen: Seen, refuses: () => boolean): KvStore {
   const list: KvStore["list"] = () => {
     seen.lists.push(performance.now())
@@ -30,16 +30,17 @@
   const events: FollowerEvents = {
     list: () => undefined,
     change: () => undefined,
-    listFailed: (_, reason) => seen.troubles.push(reason),
-    watchFailed: (_, reason) => seen.cuts.push(reason)
+    listFailed: (_, reason) => seen.listFailures.push(reason),
+    watchFailed: (_, reason) => seen.watchFailures.push(reason)
   }
   return new StoreFollower(store, [PREFIX], watches, events)
 }
 
-const createSeen = (): Seen => ({lists: [], troubles: [], cuts: []})
+const createSeen = (): Seen => ({lists: [], listFailures: [], cuts: []})
 
-// A leader whose watch was reset took that for trouble with the store, and kept servers that had left.
-t.test("a watch that is cut is no trouble: a list follows soon", async t => {
+// Guards against a leader that takes a reset watch for a failure of the store and therefore
+// keeps servers that have left.
+t.test("a failed watch is no failure of the store, and a list follows soon", async t => {
   const seen = createSeen()
   const follower = follow(
     createStore(seen, () => false),
@@ -48,8 +49,8 @@
   )
   t.teardown(() => follower.stop())
   await until("a third list", () => seen.lists.length >= 3)
-  t.ok(seen.cuts.length >= 2)
-  t.same(seen.troubles, [])
+  t.ok(seen.watchFailures.length >= 2)
+  t.same(seen.listFailures, [])
   t.notOk(follower.isFailing(performance.now()))
   const [first = 0, second = Infinity] = seen.lists
   t.ok(
@@ -58,18 +59,21 @@
   )
 })
 
-t.test("a list that fails is trouble until one is answered", async t => {
-  const seen = createSeen()
-  let refuses = true
-  const follower = follow(
-    createStore(seen, () => refuses),
-    seen,
-    false
-  )
-  t.teardown(() => follower.stop())
-  await until("a list failed", () => seen.troubles.length > 0)
-  t.ok(follower.isFailing(performance.now()))
-  refuses = false
-  await until("a list is answered", () => !follower.isFailing(performance.now()))
-  t.same(seen.cuts, [])
-})
+t.test(
+  "the store counts as failing from a failed list until one is answered",
+  async t => {
+    const seen = createSeen()
+    let refuses = true
+    const follower = follow(
+      createStore(seen, () => refuses),
+      seen,
+      false
+    )
+    t.teardown(() => follower.stop())
+    await until("a list failed", () => seen.listFailures.length > 0)
+    t.ok(follower.isFailing(performance.now()))
+    refuses = false
+    await until("a list is answered", () => !follower.isFailing(performance.now()))
+    t.same(seen.watchFailures, [])
+  }
+)
