--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -1,6 +1,6 @@
 /**
- * Load reports and cache events of engines: they may be late or incomplete, and only change
- * which engine is preferred.
+ * Load reports and cache events of engines: they may be late or incomplete, and only
+ * change which engine is preferred.
  */
 import t from "tap"
 import {Calls} from "./support/calls.js"
--- a/test/retry-asks.test.ts
+++ b/test/retry-asks.test.ts
@@ -1,4 +1,7 @@
-/** A box in a large system whose own retry budget is used up requests a retry from its leader. */
+/**
+ * A box in a large system whose own retry budget is used up requests a retry from its
+ * leader.
+ */
 import t from "tap"
 import {RETRY_ANSWER_TIMEOUT_MS} from "../src/core/box-retry-requests.js"
 import type {AttemptFailure} from "../src/core/box-attempt-failures.js"
--- a/test/server-incarnations.test.ts
+++ b/test/server-incarnations.test.ts
@@ -104,8 +104,8 @@
   t.ok(isUsable(applyBackendUpdate(leaving, "w", NEXT, byStore(20), 20), NEXT.id))
 })
 
-// Guards against a failure of a soak test: a box took an older incarnation from the store's
-// older backup for the next one. It never sent to the server again, although the
+// Guards against a failure of a soak test: a box took an older incarnation from the
+// store's older backup for the next one. It never sent to the server again, although the
 // incarnation that it had listed before still ran.
 t.test(
   "an older incarnation that an older backup restores is not the next one",
--- a/test/server-rates.test.ts
+++ b/test/server-rates.test.ts
@@ -1,7 +1,8 @@
 /**
  * A backend server advertises, in its answers, the rate that it accepts from all boxes
- * together, and all boxes keep to it. Guards against a failure in which an engine that had
- * advertised 1.2 requests a second got 15 in 4 s from boxes that had received the limit.
+ * together, and all boxes keep to it. Guards against a failure in which an engine that
+ * had advertised 1.2 requests a second got 15 in 4 s from boxes that had received the
+ * limit.
  */
 import {setTimeout as sleep} from "node:timers/promises"
 import t from "tap"
--- a/test/store-era-starts.test.ts
+++ b/test/store-era-starts.test.ts
@@ -1,8 +1,8 @@
 /**
- * Boxes that start when the store was just restored from an older backup. They have no record
- * of what was acknowledged before, and the backup contains servers that had left. In the first
- * test all boxes are killed while the store is unavailable, so that no process has such a
- * record.
+ * Boxes that start when the store was just restored from an older backup. They have no
+ * record of what was acknowledged before, and the backup contains servers that had left.
+ * In the first test all boxes are killed while the store is unavailable, so that no
+ * process has such a record.
  */
 import {setTimeout as sleep} from "node:timers/promises"
 import t from "tap"
@@ -14,15 +14,18 @@
 const DRAIN_MS = 2_500
 
 /**
- * Time from a server's leaving until the drill. Longer than `DRAIN_MS`, so that the server
- * has been drained without faults.
+ * Time from a server's leaving until the drill. Longer than `DRAIN_MS`, so that the
+ * server has been drained without faults.
  */
 const DRAINED_MS = 2_800
 
 /** Age of the backup, which still contains the server. */
 const BACKUP_AGE_MS = DRAINED_MS + 1_500
 
-/** Restored entries of servers that had left expire within this time, which includes a margin. */
+/**
+ * Restored entries of servers that had left expire within this time, which includes a
+ * margin.
+ */
 const EXPIRED_MS = 1_500
 
 /**
@@ -32,8 +35,8 @@
 const STALE_MS = 6_500
 
 /**
- * Without faults all requests are served again within this time. Generous because processes
- * may start slowly beside others.
+ * Without faults all requests are served again within this time. Generous because
+ * processes may start slowly beside others.
  */
 const RECOVERY_MS = 20_000
 
@@ -100,9 +103,9 @@
   }
 )
 
-// Guards against a failure of a soak test: a box that started 2.6 s after a drill served by
-// the restored configuration, which required no keys. The backup was older than the store
-// key of the settled era.
+// Guards against a failure of a soak test: a box that started 2.6 s after a drill served
+// by the restored configuration, which required no keys. The backup was older than the
+// store key of the settled era.
 t.test("a box that starts after a drill does not serve by restored rules", async t => {
   const bed = await PlatformBed.start({boxes: 2, engines: 1, plain: 2})
   t.teardown(() => bed.stop())
--- a/test/store-era.test.ts
+++ b/test/store-era.test.ts
@@ -1,8 +1,8 @@
 /**
- * The store is restored from a backup that is some seconds old: later writes and leases are
- * lost, and their revisions are assigned again to other changes. Each test covers a rule that
- * would break if it relied on revisions that only grow, on leases that end only by time, or
- * on a store read to show what has not been written yet.
+ * The store is restored from a backup that is some seconds old: later writes and leases
+ * are lost, and their revisions are assigned again to other changes. Each test covers a
+ * rule that would break if it relied on revisions that only grow, on leases that end only
+ * by time, or on a store read to show what has not been written yet.
  */
 import {setTimeout as sleep} from "node:timers/promises"
 import t from "tap"
@@ -26,7 +26,10 @@
 /** Deadline of a caller, including its retries. */
 const CALLER_DEADLINE_MS = 4_000
 
-/** A route whose callers wait longer for a first event than a replaced version stays in use. */
+/**
+ * A route whose callers wait longer for a first event than a replaced version stays in
+ * use.
+ */
 const PATIENT_ROUTE = {
   name: "patient",
   pathPrefix: "/patient/",
@@ -43,7 +46,9 @@
   for (let i = 0; i < MANY_WRITES; i++) bed.store.write("other/key", {i})
 }
 
-/** Whether a caller is served within its deadline. It retries as Retry-After headers ask. */
+/**
+ * Whether a caller is served within its deadline. It retries as Retry-After headers ask.
+ */
 async function isServed(bed: PlatformBed, adapter: string): Promise<boolean> {
   const [box] = bed.boxes as [BedBox]
   const end = performance.now() + CALLER_DEADLINE_MS
@@ -73,8 +78,8 @@
   })
 })
 
-// A version that the backup lacks may have been acknowledged before the restore, so a store
-// read without it does not limit the version's age.
+// A version that the backup lacks may have been acknowledged before the restore, so a
+// store read without it does not limit the version's age.
 t.test("a version's age does not restart when it is written again", async t => {
   const engine = {maxAdapters: 1, events: 1_200, gapMs: 10}
   const bed = await PlatformBed.start({boxes: 1, engines: 1, plain: 0, engine})
--- a/test/store-eras.test.ts
+++ b/test/store-eras.test.ts
@@ -1,6 +1,6 @@
 /**
- * Eras of the store in the parts of a box: answers, positions, backend servers, versions and
- * leadership.
+ * Eras of the store in the parts of a box: answers, positions, backend servers, versions
+ * and leadership.
  */
 import {createServer, type Server} from "node:http"
 import type {AddressInfo} from "node:net"
@@ -208,8 +208,8 @@
   }
 )
 
-// Guards against a box that started after the server left: no list that it has read contains
-// the server, so it cannot tell that the restored entry is outdated.
+// Guards against a box that started after the server left: no list that it has read
+// contains the server, so it cannot tell that the restored entry is outdated.
 t.test("a server unknown at the time of a restore may have left before", async t => {
   const at = (now: number): {source: "store"; readAt: number} => ({
     source: "store",
@@ -236,8 +236,8 @@
   t.ok(isUsable(reported, "w~1"), "usable if reported by a box with older records")
 })
 
-// Guards against a failure of a soak test: a box that requested a store snapshot from other
-// boxes during a restore refused plain requests for 20 s.
+// Guards against a failure of a soak test: a box that requested a store snapshot from
+// other boxes during a restore refused plain requests for 20 s.
 t.test("a store that serves other boxes keeps the expiry set at a restore", async t => {
   const at = (now: number): {source: "store"; readAt: number} => ({
     source: "store",
--- a/test/store-follower.test.ts
+++ b/test/store-follower.test.ts
@@ -1,4 +1,6 @@
-/** Lists and watches of a box that follows the store while the store fails one of them. */
+/**
+ * Lists and watches of a box that follows the store while the store fails one of them.
+ */
 import t from "tap"
 import {type FollowerEvents, StoreFollower} from "../src/adapters/store-follower.js"
 import {LIST_INTERVAL_MS} from "../src/core/snapshot-age.js"
@@ -38,8 +40,8 @@
 
 const createSeen = (): Seen => ({lists: [], listFailures: [], cuts: []})
 
-// Guards against a leader that takes a reset watch for a failure of the store and therefore
-// keeps servers that have left.
+// Guards against a leader that takes a reset watch for a failure of the store and
+// therefore keeps servers that have left.
 t.test("a failed watch is no failure of the store, and a list follows soon", async t => {
   const seen = createSeen()
   const follower = follow(
--- a/test/versions-links.test.ts
+++ b/test/versions-links.test.ts
@@ -1,47 +1,53 @@
 /**
- * How old a version is that a box hears of, where its leader's messages lie on the link.
+ * The age that a box assumes for a version when messages from its leader are delayed.
  *
- * The incident of versions: all times count from the last reading of the store without the version. A
- * ping says how old that reading was as the ping was sent; what the ping then spends on its way, the box
- * takes for newer knowledge than it has. Found by a review; no played day has shown it.
+ * Ages of versions count from the last store read without the version. A ping carries the
+ * age of that read at the time of sending. A box that ignores how long the ping was
+ * delayed assumes that the version is younger than it is.
  */
 import t from "tap"
 import {FaultProxy} from "./support/fault-proxy.js"
 import {type BedBox, PlatformBed} from "./support/platform-bed.js"
 import {until} from "./support/wait.js"
 
-/** What each message spends on the link, milliseconds. */
+/** Final delay of each message on the link; it is raised by `STEP_MS` at a time. */
 const DELAY_MS = 1_500
 const STEP_MS = 300
 
-/** Numbers of log lines: the link to the leader is up, versions were heard of. */
-const LINKED = 182
-const VERSIONS_NAMED = 211
+/** Number of the log event of an established link to the leader. */
+const LINK_EVENT = 182
 
-interface HeardLine {
+/** Number of the log event of received versions. */
+const VERSIONS_EVENT = 211
+
+interface VersionsLine {
   readonly time: number
   readonly event: number
   readonly versions: string
   readonly ageMs: number
 }
 
-/** A standstill that is too short for a box to read the store itself, and in it the naming, milliseconds. */
-const STILL_MS = 700
-const NAMED_AFTER_MS = 100
+/** Length of a process pause. Too short for a box to read the store itself. */
+const PAUSE_MS = 700
+
+/** Time from the start of a process pause until the version is announced. */
+const ANNOUNCED_AFTER_MS = 100
 
-/** By chance a leader's ping in each standstill tells older or newer news. */
-const STANDSTILLS = 10
+/**
+ * Several, because the age in the leader's ping during a process pause varies by chance.
+ */
+const PAUSES = 10
 
-/** The time of day may step by so much against the steady clock within a measurement, milliseconds. */
-const MOST_STEP_MS = 20
+/** Most that the time of day may step against the steady clock within a measurement. */
+const MAX_STEP_MS = 20
 
-/** A measurement in which the time of day stepped says nothing of the box; it is made again, so often at most. */
-const MOST_AGAIN = 5
+/** Most repetitions of measurements that a step of the time of day makes void. */
+const MAX_REPETITIONS = 5
 
 const sleep = (ms: number): Promise<void> =>
   new Promise(resolve => setTimeout(resolve, ms))
 
-/** A second box, linked to the first one through a proxy. */
+/** Adds a second box that is linked to the first one through a proxy. */
 async function followThroughProxy(
   bed: PlatformBed
 ): Promise<{readonly box: BedBox; readonly proxy: FaultProxy}> {
@@ -49,84 +55,91 @@
   const proxy = await FaultProxy.start(Number(record.address.split(":")[1]))
   bed.store.write("sedge/leader", {...record, address: `127.0.0.1:${proxy.port}`})
   const box = await bed.addBox()
-  await until("the link is up", () => box.child.output.includes(`"event":${LINKED}`))
-  await until("it is ready", () => bed.isReady(box))
+  await until("the link is up", () => box.child.output.includes(`"event":${LINK_EVENT}`))
+  await until("the box is ready", () => bed.isReady(box))
   return {box, proxy}
 }
 
-/** How the time of day stands to the steady clock: logs tell the first, which a machine may set at any time. */
+/**
+ * Returns the offset of the time of day from the steady clock. Logs contain the time of
+ * day, which a machine may set at any time.
+ */
 function timeOfDayOffset(): number {
   return Date.now() - performance.now()
 }
 
-interface Measured {
-  readonly lateMs: number
+interface Measurement {
+  readonly delayMs: number
   readonly ageMs: number
 }
 
-/** Has a version of an adapter named, and measures what the box that hears of it tells of its age. */
+/**
+ * Announces a version of an adapter, and measures when the box receives it and which age
+ * it logs. Undefined if the time of day stepped meanwhile.
+ */
 async function measure(
   box: BedBox,
   adapter: string,
-  name: () => Promise<void>
-): Promise<Measured | undefined> {
+  announce: () => Promise<void>
+): Promise<Measurement | undefined> {
   const offset = timeOfDayOffset()
-  const namedAt = Date.now()
-  await name()
-  const named = `${adapter}@2`
-  await until("it hears of it", () => findHeard(box, named) !== undefined)
-  const {time, ageMs} = findHeard(box, named) as HeardLine
-  if (Math.abs(timeOfDayOffset() - offset) > MOST_STEP_MS) return undefined
-  return {lateMs: time - namedAt, ageMs}
+  const announcedAt = Date.now()
+  await announce()
+  const version = `${adapter}@2`
+  await until("the box receives it", () => findLine(box, version) !== undefined)
+  const {time, ageMs} = findLine(box, version) as VersionsLine
+  if (Math.abs(timeOfDayOffset() - offset) > MAX_STEP_MS) return undefined
+  return {delayMs: time - announcedAt, ageMs}
 }
 
-function findHeard({child}: BedBox, named: string): HeardLine | undefined {
+function findLine({child}: BedBox, version: string): VersionsLine | undefined {
   return child.output
     .split("\n")
-    .filter(line => line.includes(named))
-    .map(line => JSON.parse(line) as HeardLine)
-    .find(({event}) => event === VERSIONS_NAMED)
+    .filter(line => line.includes(version))
+    .map(line => JSON.parse(line) as VersionsLine)
+    .find(({event}) => event === VERSIONS_EVENT)
 }
 
-t.test("what a message spent on its way counts for a version's age", async t => {
+t.test("the link delay of a message counts towards a version's age", async t => {
   const bed = await PlatformBed.start({boxes: 1, engines: 1})
   t.teardown(() => bed.stop())
   const {box, proxy} = await followThroughProxy(bed)
   t.teardown(() => proxy.close())
-  // Little by little, as on a link whose queue grows: neither end misses a message.
+  // Raised in steps, as on a link whose queue grows, so that neither end misses a
+  // message.
   for (let delayMs = STEP_MS; delayMs <= DELAY_MS; delayMs += STEP_MS) {
     proxy.set({delayMs})
     await sleep(2 * STEP_MS)
   }
-  let measured: Measured | undefined
-  for (let i = 1; !measured && i <= MOST_AGAIN; i++) {
-    measured = await measure(box, `a${i}`, async () => bed.bump(`a${i}`, 2))
+  let measurement: Measurement | undefined
+  for (let i = 1; !measurement && i <= MAX_REPETITIONS; i++) {
+    measurement = await measure(box, `a${i}`, async () => bed.bump(`a${i}`, 2))
   }
-  if (!measured) return t.fail("the time of day stepped in every measurement")
-  const {lateMs, ageMs} = measured
-  t.ok(ageMs >= lateMs, `named ${lateMs} ms before, at most ${ageMs} by its own count`)
+  if (!measurement) return t.fail("the time of day stepped in every measurement")
+  const {delayMs, ageMs} = measurement
+  t.ok(ageMs >= delayMs, `announced ${delayMs} ms before, but logged age ${ageMs} ms`)
 })
 
-t.test("what a message waited at a box that stood still counts for it", async t => {
+t.test("the wait of a message during a process pause counts towards it", async t => {
   const bed = await PlatformBed.start({boxes: 2, engines: 1})
   t.teardown(() => bed.stop())
-  const frozen = bed.boxes.find(box => box !== bed.leader()) as BedBox
-  const short: string[] = []
+  const paused = bed.boxes.find(box => box !== bed.leader()) as BedBox
+  const tooLow: string[] = []
   let measurements = 0
-  for (let i = 1; measurements < STANDSTILLS; i++) {
-    if (i > STANDSTILLS + MOST_AGAIN) return t.fail("the time of day stepped too often")
-    await sleep(STILL_MS)
-    frozen.child.signal("SIGSTOP")
-    await sleep(NAMED_AFTER_MS)
-    const measured = await measure(frozen, `a${i}`, async () => {
+  for (let i = 1; measurements < PAUSES; i++) {
+    if (i > PAUSES + MAX_REPETITIONS) return t.fail("the time of day stepped too often")
+    await sleep(PAUSE_MS)
+    paused.child.signal("SIGSTOP")
+    await sleep(ANNOUNCED_AFTER_MS)
+    const measurement = await measure(paused, `a${i}`, async () => {
       bed.bump(`a${i}`, 2)
-      await sleep(STILL_MS - NAMED_AFTER_MS)
-      frozen.child.signal("SIGCONT")
+      await sleep(PAUSE_MS - ANNOUNCED_AFTER_MS)
+      paused.child.signal("SIGCONT")
     })
-    if (!measured) continue
+    if (!measurement) continue
     measurements++
-    const {lateMs, ageMs} = measured
-    if (ageMs < lateMs) short.push(`${lateMs} ms, at most ${ageMs}`)
+    const {delayMs, ageMs} = measurement
+    if (ageMs < delayMs) tooLow.push(`${delayMs} ms, logged age ${ageMs} ms`)
   }
-  t.same(short, [])
+  t.same(tooLow, [])
 })
--- a/test/versions-sends.test.ts
+++ b/test/versions-sends.test.ts
@@ -1,8 +1,7 @@
 /**
- * What a send that is stopped as its bytes would leave says of the engine it was meant for.
- *
- * The incident of versions: a request that waited for a connection is looked at once more. Where only its
- * version was replaced meanwhile its engine did nothing wrong. Found by a review.
+ * A request that waited for a connection is checked again just before it is sent. If it
+ * is cancelled only because its version was replaced meanwhile, its engine must not
+ * become suspect.
  */
 import {createServer} from "node:http"
 import type {AddressInfo} from "node:net"
@@ -18,10 +17,10 @@
 import {loadedEngines, STREAM, Subject} from "./support/box-subject.js"
 import {until} from "./support/wait.js"
 
-/** So long before the test the store was read last without the second version, milliseconds. */
+/** Age, at the start of the test, of the last store read without the second version. */
 const READ_BEFORE_MS = 600
 
-/** Longer than that and this together an older version is not sent to, milliseconds. */
+/** Together with `READ_BEFORE_MS` longer than requests are sent to a replaced version. */
 const WAIT_MS = 1_100
 
 const CONFIG = {
@@ -37,7 +36,7 @@
   }
 }
 
-t.test("an engine is not suspected where only the version was replaced", async t => {
+t.test("an engine is not suspect if only the version was replaced", async t => {
   const serving = new Subject().box
   const sends: SendHandler[] = []
   const loop = startLoop<RoutedState, RoutedEvent, RoutedEffect>({
@@ -45,7 +44,7 @@
     step: stepRouted,
     perform: effect => void relay.perform(effect as never),
     makeTick: () => ({type: "tick", mayOrder: false}),
-    // Nothing here waits for a tick.
+    // The test needs no ticks.
     tickMs: () => Infinity,
     now: () => performance.now()
   })
@@ -77,7 +76,7 @@
     headers: {host: "h", "x-request-id": "n", "x-model-id": "m/x"},
     signal: caller.signal
   }).catch(() => undefined)
-  await until("it is to be sent", () => sends.length === 1)
+  await until("the request is to be sent", () => sends.length === 1)
   await new Promise(resolve => setTimeout(resolve, WAIT_MS))
   loop.post({type: "news", at: performance.now(), read: true})
   t.equal(
--- a/test/words.test.ts
+++ b/test/words.test.ts
@@ -1,4 +1,4 @@
-/** Nothing outside `platform/` knows the platform's names. */
+/** No source outside `platform/` contains names of the platform. */
 import {readdirSync, readFileSync, statSync} from "node:fs"
 import {join} from "node:path"
 import {fileURLToPath} from "node:url"
@@ -7,7 +7,7 @@
 
 const ROOT = fileURLToPath(new URL("../..", import.meta.url))
 
-/** Names that HTTP or the product's own interfaces have, too. */
+/** Names that also belong to HTTP or to the product's own interfaces. */
 const SHARED: ReadonlySet<string> = new Set([HEADER.lastEvent, HEADER.request])
 
 const FIELDS = ["fencingToken", "expectedRev", "pathPrefix=", "ttl_ms", "gapTargetMs:"]
@@ -20,7 +20,7 @@
   })
 }
 
-t.test("the product's sources hold no word of the platform", async t => {
+t.test("the product's sources contain no name of the platform", async t => {
   const headers = Object.values(HEADER).filter(name => !SHARED.has(name))
   const words = [
     ...headers,
@@ -28,13 +28,13 @@
     KEY.backends,
     KEY.version
   ]
-  const all = [...words, ...FIELDS.slice(0, 4), SETTINGS_VARIABLE].map(word =>
+  const forbidden = [...words, ...FIELDS.slice(0, 4), SETTINGS_VARIABLE].map(word =>
     word.toLowerCase()
   )
   for (const path of listSources(join(ROOT, "src"))) {
     const text = readFileSync(path, "utf8").toLowerCase()
     t.same(
-      all.filter(word => text.includes(word)),
+      forbidden.filter(word => text.includes(word)),
       [],
       path.slice(ROOT.length)
     )
