--- a/test/versions-links.test.ts
+++ b/test/versions-links.test.ts
@@ -123,7 +123,7 @@
   )
 })
 
-t.test("the wait of a message during a process pause counts towards it", async t => {
+t.test("the wait of a message during a process pause counts towards the age", async t => {
   const bed = await PlatformBed.start({boxes: 2, engines: 1})
   t.teardown(() => bed.stop())
   const paused = bed.boxes.find(box => box !== bed.leader()) as BedBox
