--- a/test/departures.test.ts
+++ b/test/departures.test.ts
@@ -43,12 +43,12 @@
 
 /** Blocks traffic between the box and the store in both directions. */
 function blockStore(box: BedBox): void {
-  box.storeProxy?.set({blockUp: true, blockDown: true})
+  box.storeProxy?.setFaults({blockUp: true, blockDown: true})
 }
 
 /** Closes the box's connections to the store and refuses new ones. */
 function refuseStore(box: BedBox): void {
-  box.storeProxy?.set({refuse: true})
+  box.storeProxy?.setFaults({refuse: true})
   box.storeProxy?.cut()
 }
 
--- a/test/platform-path.test.ts
+++ b/test/platform-path.test.ts
@@ -110,7 +110,7 @@
   const engineIndex = bed.engines.findIndex(({id: engineId}) => engineId === run?.worker)
   // Some events must have been sent before the return path is blocked.
   await new Promise(resolve => setTimeout(resolve, 300))
-  bed.workerProxies[engineIndex]?.set({blockDown: true})
+  bed.workerProxies[engineIndex]?.setFaults({blockDown: true})
   const {body, broken} = await call
   t.notOk(broken)
   t.equal(body, wholeStream(id, 20))
