--- a/test/versions-links.test.ts
+++ b/test/versions-links.test.ts
@@ -113,7 +113,9 @@
   }
   let measurement: Measurement | undefined
   for (let i = 1; !measurement && i <= MAX_REPETITIONS; i++) {
-    measurement = await measure(box, `a${i}`, async () => bed.publishAdapterVersion(`a${i}`, 2))
+    measurement = await measure(box, `a${i}`, async () =>
+      bed.publishAdapterVersion(`a${i}`, 2)
+    )
   }
   if (!measurement) return t.fail("the time of day stepped in every measurement")
   const {receivedAfterMs, ageMs} = measurement
